--- a/sparline/relay/__init__.py
+++ b/sparline/relay/__init__.py
@@ -1,4 +1,4 @@
-"""Relay: one hop between zones, the receiver's word last."""
+"""Request relay between zones: at most one hop, with final admission by the receiver."""
 
 from sparline.relay._receiver import RelayReceiver
 from sparline.relay._sender import RelaySender
--- a/sparline/relay/_receiver.py
+++ b/sparline/relay/_receiver.py
@@ -1,4 +1,4 @@
-"""Requests that peers send: the receiving side has the last word."""
+"""Receiving side of the relay: final admission and execution of requests that peers send."""
 
 from collections.abc import Iterator
 
@@ -43,18 +43,18 @@
 
 
 class _Prompt(msgspec.Struct):
-    """Read the prompt of a completion, nothing else of it."""
+    """Decode only the prompt of a completion request."""
 
     prompt: str = ""
 
 
 class RelayReceiver:
-    """Run what peers relay, on backend servers of this zone only."""
+    """Run requests relayed by peers, only on backend servers of this zone."""
 
     def __init__(self, membership: Membership, dispatcher: Dispatcher, metrics: Metrics) -> None:
-        """Serve with one dispatcher."""
-        self.catalog = Catalog()  # replaced when the files change
-        self.in_flight = 0  # relayed requests that run here
+        """Create a receiver that runs requests through a dispatcher."""
+        self.catalog = Catalog()  # replaced when the declaration files change
+        self.in_flight = 0  # relayed requests running here
         self._membership = membership
         self._dispatcher = dispatcher
         self._metrics = metrics
@@ -68,15 +68,16 @@
                     case Ok(RelayOffer() as offer):
                         self._serve_one(connection, peer, offer)
                     case Ok(RelayBody()):
-                        continue  # content of a request that was refused meanwhile
+                        continue  # body of a repeatable request that was refused while it was sent
                     case _:
                         return
         except (ConnectionClosed, OSError):
             return
 
     def _serve_one(self, connection: Connection, peer: Hello, offer: RelayOffer) -> None:
-        # The deadline counts from here: what waited in a frozen process is checked again
-        # by the state of the connection, which the sender closes when it gives up.
+        # The deadline counts from the receipt of the offer, so it misses any time that the
+        # offer waited in a suspended process. Such a request is detected by its connection,
+        # which the sender closes when it gives up.
         deadline_at_ms = now_ms() + offer.deadline_ms
         refusal = self._refusal(
             offer, self._as_request(connection, offer, deadline_at_ms, _PENDING)
@@ -88,7 +89,9 @@
         connection.send(encode(RelayGrant(offer.attempt, self._membership.self_hello.incarnation)))
         body = _receive(connection, BODY_TIMEOUT_S)
         if not isinstance(body.ok(), RelayBody) or body.unwrap().attempt != offer.attempt:
-            log.warning("relay: no content of a granted request from {}", peer.instance_id)
+            log.warning(
+                "relay: peer {} did not send the body of a granted request", peer.instance_id
+            )
             connection.close()
             return
         request = self._as_request(connection, offer, deadline_at_ms, body.unwrap())
@@ -149,7 +152,7 @@
 
 
 def _prefix_keys(offer: RelayOffer, body: RelayBody) -> tuple[int, ...]:
-    """Hash the start of a prompt here, where it has come; no hash travels."""
+    """Hash the prompt prefixes locally, once the body is here; hashes are not sent to peers."""
     try:
         prompt = msgspec.json.decode(body.body, type=_Prompt).prompt
     except msgspec.DecodeError:
@@ -173,14 +176,14 @@
                 part = following
                 yield part.body
             case _:
-                raise ConnectionResetError("the peer did not send the rest of a request")
+                raise ConnectionResetError("peer did not send the rest of the request body")
 
 
 def _receive(connection: Connection, timeout_s: float | None) -> Result[Message, str]:
     try:
         return decode(connection.recv(timeout=timeout_s))
     except TimeoutError:
-        return Err("nothing in time")
+        return Err("timed out waiting for a message")
 
 
 def _frame(offer: RelayOffer, part: AnswerPart) -> Message:
--- a/sparline/relay/_sender.py
+++ b/sparline/relay/_sender.py
@@ -1,4 +1,4 @@
-"""Requests sent to another zone, over connections of their own."""
+"""Sending side of the relay: requests to other zones, over dedicated connections."""
 
 import uuid
 from collections import defaultdict
@@ -41,18 +41,18 @@
 from sparline.schema._settings import Address
 
 READ_SLICE_S = 0.1
-# A peer that has not granted by then is given up; nothing was sent to it.
+# Longest wait for a grant; the body has not been sent by then, so the attempt has not run.
 GRANT_TIMEOUT_MS = 1_500.0
 MAX_IDLE_CONNECTIONS = 16
 
 
 class RelaySender:
-    """Send requests to peers; one connection carries one request at a time."""
+    """Send requests to peers; each connection carries one request at a time."""
 
     def __init__(
         self, membership: Membership, spare: SpareRoom, metrics: Metrics, dialer: Dialer
     ) -> None:
-        """Start without a connection."""
+        """Create a sender with no open connections."""
         self.resident_region: Callable[[str, str], bool] = lambda _rule, _region: False
         self._membership = membership
         self._spare = spare
@@ -61,11 +61,11 @@
         self._idle: dict[InstanceId, list[Connection]] = defaultdict(list)
 
     def send(self, request: Request, candidate: RemoteCandidate, resume_from: int) -> Answer:
-        """Relay one request; its last part tells what is known of this attempt."""
-        assert request.origin is Origin.CALLER, "a relayed request would be relayed again"
-        assert candidate.instance_id is not None, "a candidate without an instance was chosen"
+        """Relay one request and yield its answer; the last part is the outcome of this attempt."""
+        assert request.origin is Origin.CALLER, "a relayed request must not be relayed again"
+        assert candidate.instance_id is not None, "the candidate has no instance"
         assert self.resident_region(request.residency_rule, candidate.region), (
-            "region is not allowed"
+            "the residency rule does not allow this region"
         )
         self._spare.take(candidate.zone, room_key(request))
         try:
@@ -108,7 +108,7 @@
                 return Ok(connection)
         member = self._membership.catalog.instances.get(peer_id)
         if member is None:
-            return Err("not in the list")
+            return Err("peer is not in the catalog")
         own = self._membership.self_hello
         hello = Hello(
             own.instance_id, own.incarnation, own.region, own.availability_zone, LinkPurpose.relay
@@ -134,7 +134,7 @@
 
 
 class _RelayExchange:
-    """Carry one request over one connection; closing it cancels the request."""
+    """Exchange one request over one connection; closing the connection cancels the request."""
 
     def __init__(
         self,
@@ -145,13 +145,13 @@
         metrics: Metrics,
     ) -> None:
         self.connection = connection
-        self.reusable = False  # whether the connection is clean for another request
+        self.reusable = False  # whether the connection can carry another request
         self._request = request
         self._candidate = candidate
         self._resume_from = resume_from
         self._attempt = uuid.uuid4().hex
         self._bytes = metrics.wide_area_bytes.labels(candidate.region)
-        self._body_sent = False  # whether a byte of the content may have left
+        self._body_sent = False  # whether any of the body may have been sent
 
     def run(self) -> Generator[AnswerPart, None, AnswerEnd]:
         try:
@@ -190,7 +190,7 @@
         )
 
     def _await_grant(self) -> AnswerEnd | None:
-        """Wait for leave to send the content; without it nothing has been sent."""
+        """Wait for the grant to send the body; without it, none of the body has been sent."""
         give_up_ms = min(now_ms() + GRANT_TIMEOUT_MS, self._request.deadline_at_ms)
         match self._receive(give_up_ms):
             case Ok(RelayGrant()):
@@ -250,7 +250,7 @@
                     return self._lost(Reason.PEER_LOST)
 
     def _refused(self, refusal: RelayRefusal) -> AnswerEnd:
-        """Take back a request that the peer refused; what it held did not run."""
+        """End an attempt as not run: the peer refused the request and did not execute it."""
         self.reusable = True
         return not_run(_read_reason(refusal.reason), refusal.retry_after_ms)
 
@@ -263,7 +263,7 @@
         self._bytes.inc(len(data))
 
     def _receive(self, give_up_ms: float) -> Result[Message, Reason]:
-        """Read one frame of this attempt; a frame of another ends the connection."""
+        """Read one message of this attempt; a message of another one ends the connection."""
         while True:
             if now_ms() >= give_up_ms:
                 return Err(Reason.DEADLINE_PASSED)
--- a/sparline/relay/tests/test_sender.py
+++ b/sparline/relay/tests/test_sender.py
@@ -1,4 +1,4 @@
-"""What a sender says of a relayed request when its peer fails at any step."""
+"""Outcomes that a relay sender reports when its peer fails at any step of a request."""
 
 import random
 from collections.abc import Callable, Iterator
@@ -91,28 +91,38 @@
 
 
 CASES = [
-    # name, the peer's steps after the offer, outcome if it may be repeated, and if it may not
-    ("hangs up at the offer", [hang_up], "unknown", "not_run"),
-    ("freezes at the offer", [freeze], "unknown", "not_run"),
+    # name, peer's steps after the offer, outcome if repeatable, outcome if not repeatable
+    ("disconnects after the offer", [hang_up], "unknown", "not_run"),
+    ("stalls after the offer", [freeze], "unknown", "not_run"),
     ("refuses", [refuse], "not_run", "not_run"),
-    ("answers garbage", [garbage], "unknown", "not_run"),
-    ("answers for another", [crossed_chunk], "unknown", "not_run"),
-    ("hangs up after the grant", [grant, hang_up], "unknown", "unknown"),
-    ("freezes after the grant", [grant, freeze], "unknown", "unknown"),
-    ("hangs up after the content", [grant, take_body, hang_up], "unknown", "unknown"),
-    ("refuses after the content", [grant, take_body, refuse], "not_run", "not_run"),
-    ("hangs up in the answer", [grant, take_body, head, chunk, hang_up], "unknown", "unknown"),
-    ("crosses answers", [grant, take_body, head, chunk, crossed_chunk], "unknown", "unknown"),
-    ("garbage in the answer", [grant, take_body, head, garbage], "unknown", "unknown"),
-    ("answers whole", [grant, take_body, head, chunk, complete], "complete", "complete"),
+    ("answers with a malformed message", [garbage], "unknown", "not_run"),
+    ("answers for another attempt", [crossed_chunk], "unknown", "not_run"),
+    ("disconnects after the grant", [grant, hang_up], "unknown", "unknown"),
+    ("stalls after the grant", [grant, freeze], "unknown", "unknown"),
+    ("disconnects after the body", [grant, take_body, hang_up], "unknown", "unknown"),
+    ("refuses after the body", [grant, take_body, refuse], "not_run", "not_run"),
+    (
+        "disconnects during the answer",
+        [grant, take_body, head, chunk, hang_up],
+        "unknown",
+        "unknown",
+    ),
+    (
+        "chunk of another attempt in the answer",
+        [grant, take_body, head, chunk, crossed_chunk],
+        "unknown",
+        "unknown",
+    ),
+    ("malformed message in the answer", [grant, take_body, head, garbage], "unknown", "unknown"),
+    ("complete answer", [grant, take_body, head, chunk, complete], "complete", "complete"),
 ]
 
 
 class FakePeer:
-    """Follow a script for each offer."""
+    """Run a list of steps for each offer."""
 
     def __init__(self, steps: list[Step], hello: Hello = HELLO) -> None:
-        """Listen on a free port and greet with a name."""
+        """Listen on a free port and answer the handshake with a given hello."""
         self._hello = hello
         self.port = PortPool().take()
         self._steps = steps
@@ -194,9 +204,9 @@
     return Hello(name, "1", "north", "zone-a", LinkPurpose.control)
 
 
-@pytest.mark.parametrize("repeatable", [True, False], ids=["may be repeated", "may not"])
+@pytest.mark.parametrize("repeatable", [True, False], ids=["repeatable", "not repeatable"])
 @pytest.mark.parametrize(("name", "steps", "may", "may_not"), CASES, ids=[row[0] for row in CASES])
-def test_peer_fails_at_a_step(
+def test_outcome_when_peer_fails_at_a_step(
     peer: SimpleNamespace, name: str, steps: list[Step], may: str, may_not: str, repeatable: bool
 ) -> None:
     peer.fake = FakePeer(steps)
@@ -210,12 +220,12 @@
     )
 
 
-def test_peer_that_nobody_listens_for_was_sent_nothing() -> None:
+def test_refused_connection_is_not_run() -> None:
     parts = send(PortPool().take(), make_request(repeatable=False))
     assert [part.outcome for part in parts] == [Outcome.not_run]
 
 
-def test_another_instance_at_the_address_gets_nothing(peer: SimpleNamespace) -> None:
+def test_another_instance_at_the_address_is_not_sent_the_request(peer: SimpleNamespace) -> None:
     impostor = Hello("c-9", "1", "south", "zone-b", LinkPurpose.relay)
     peer.fake = FakePeer([grant, take_body, complete], impostor)
     parts = send(peer.fake.port, make_request(repeatable=False))
