--- a/sparline/requests/__init__.py
+++ b/sparline/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Requests, answers, outcomes, tickets."""
+"""Requests, callers, answers and their outcomes, and tickets."""
 
 from sparline.requests._body import UNKNOWN_LENGTH, RequestBody
 from sparline.requests._callers import (
--- a/sparline/requests/_callers.py
+++ b/sparline/requests/_callers.py
@@ -1,4 +1,4 @@
-"""Whose request it is: the key that a caller shows, and the organisation that it belongs to."""
+"""Caller authentication: the key that a caller presents and the organisation that owns it."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -11,7 +11,7 @@
 
 
 class KeyFault(Enum):
-    """Name why no key is shown; the value completes a sentence for the caller."""
+    """Name why a request has no usable key; the value is part of the error sent to the caller."""
 
     NONE = "no key"
     SEVERAL = "several keys"
@@ -20,35 +20,35 @@
 
 @dataclass(frozen=True, slots=True)
 class ShownKey:
-    """Hold the key that a caller shows, or why there is none."""
+    """Hold the key that a caller presents, or why there is none."""
 
-    digest: KeyDigest | None  # names the key, None where none can be read
-    fault: KeyFault | None = None  # why there is none
+    digest: KeyDigest | None  # digest of the key, None if none could be read
+    fault: KeyFault | None = None  # why there is no key
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedCaller:
-    """Hold what the first instance tells of the caller whose request it relays."""
+    """Hold what the relaying instance states about the caller of a request."""
 
-    version: ConfigurationVersion  # configuration by which it found the organisation
-    organisation: OrganisationId  # whose key it was shown
-    key: KeyDigest  # that key
+    version: ConfigurationVersion  # configuration in which it looked up the key
+    organisation: OrganisationId  # owner of the key
+    key: KeyDigest  # digest of the presented key
 
 
 @dataclass(frozen=True, slots=True)
 class KnownCaller:
-    """Hold whose request it is."""
+    """Hold the authenticated caller of a request."""
 
-    version: ConfigurationVersion  # configuration by which the key was looked up
-    organisation: Organisation  # to which the key belongs
-    key: KeyDigest  # key that was shown
+    version: ConfigurationVersion  # configuration in which the key was looked up
+    organisation: Organisation  # owner of the key
+    key: KeyDigest  # digest of the presented key
 
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """Say why nobody stands for a request."""
+    """Say why the caller of a request could not be authenticated."""
 
-    reason: Reason  # for the counters
+    reason: Reason  # label of the counters
     text: str  # what was expected and found
 
 
@@ -56,14 +56,14 @@
 
 
 def find_caller(configuration: Configuration, route: Route, shown: ShownKey) -> Whose:
-    """Return whose request it is, None where no key is asked for."""
+    """Return the caller of a request, None where no key is required."""
     known = configuration.organisations
     if known is None:
         return Ok(None)
     if shown.digest is None:
         if route.is_open and shown.fault is KeyFault.NONE:
             return Ok(None)
-        assert shown.fault is not None, "a key that is not shown has a fault"
+        assert shown.fault is not None, "a missing key must have a fault"
         text = f"Authorization: expected Bearer KEY, found {shown.fault.value}"
         return Err(Unknown(Reason.NO_KEY, text))
     organisation = known.by_key.get(shown.digest)
@@ -74,10 +74,10 @@
 
 
 def find_relayed(configuration: Configuration, route: Route, told: RelayedCaller | None) -> Whose:
-    """Return whose request it is that another instance relays.
+    """Return the caller of a request that another instance relays.
 
-    The instance with the newer configuration decides: a key that this one does not know yet is taken
-    from the other, one that it has seen withdrawn is not.
+    The instance with the newer configuration decides: a key that is unknown here is accepted unless
+    the configuration here is newer than the relaying instance's, which means it was withdrawn.
     """
     known = configuration.organisations
     if told is None:
@@ -93,7 +93,7 @@
 
 
 def is_withdrawn(configuration: Configuration | None, caller: KnownCaller | None) -> bool:
-    """Tell whether a caller's key was withdrawn since its request was taken."""
+    """Tell whether a caller's key was withdrawn after its request was accepted."""
     if configuration is None or caller is None or configuration.version <= caller.version:
         return False
     known = configuration.organisations
--- a/sparline/requests/_ledger.py
+++ b/sparline/requests/_ledger.py
@@ -1,4 +1,4 @@
-"""Tickets and the ledger of requests that must not run twice at this instance."""
+"""Tickets and the ledger that keeps requests from running twice on this instance."""
 
 import uuid
 from collections import OrderedDict
@@ -13,7 +13,7 @@
 from sparline.requests._types import AnswerEnd, not_run, unknown
 from sparline.schema._messages import Outcome
 
-# A ticket is accepted for so long; its outcome is kept for longer.
+# Validity of a ticket; its outcome is kept for longer.
 TICKET_TTL_MS = 600_000
 OUTCOME_TTL_MS = 2 * TICKET_TTL_MS
 MAX_ENTRIES = 200_000
@@ -21,25 +21,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """Bind one request id to one incarnation of one instance."""
+    """Bind one request ID to one incarnation of one instance."""
 
     instance_id: InstanceId  # the only instance that may run it
-    incarnation: Incarnation  # and its only incarnation
-    uptime_ms: int  # age of that incarnation when the ticket was made, at the most
+    incarnation: Incarnation  # the only incarnation that may run it
+    uptime_ms: int  # upper bound on the age of that incarnation when the ticket was issued
     nonce: str  # makes the ticket unique
 
     def __str__(self) -> str:
-        """Return the ticket as callers send it."""
+        """Return the ticket in the text form that callers send."""
         return f"{self.instance_id}~{self.incarnation}~{self.uptime_ms}~{self.nonce}"
 
 
 def make_ticket(instance_id: InstanceId, incarnation: Incarnation, uptime_ms: int) -> Ticket:
-    """Return a fresh ticket."""
+    """Return a new ticket with a unique nonce."""
     return Ticket(instance_id, incarnation, uptime_ms, uuid.uuid4().hex)
 
 
 def parse_ticket(text: str) -> Result[Ticket, str]:
-    """Read a ticket as callers send it."""
+    """Parse a ticket from the text form that callers send."""
     match text.split("~"):
         case [instance_id, incarnation, uptime, nonce] if uptime.isdigit() and nonce:
             return Ok(Ticket(InstanceId(instance_id), Incarnation(incarnation), int(uptime), nonce))
@@ -47,7 +47,7 @@
 
 
 class EntryState(Enum):
-    """Name the state of a request that has been seen."""
+    """Name the state of a recorded request."""
 
     RUNNING = "running"
     ENDED = "ended"
@@ -55,18 +55,18 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """Hold what is known of one request."""
+    """Hold the record of one request."""
 
-    state: EntryState  # running or ended
-    noted_at_ms: float  # when the state was noted
-    end: AnswerEnd | None = None  # how it ended
+    state: EntryState  # whether the request still runs
+    noted_at_ms: float  # when the state was recorded
+    end: AnswerEnd | None = None  # its end, None while it runs
 
 
 class RequestLedger:
-    """Let each ticket or not-repeatable id run at most once here."""
+    """Let each ticket or non-repeatable request ID run at most once on this instance."""
 
     def __init__(self, instance_id: InstanceId, incarnation: Incarnation) -> None:
-        """Start with no request; a new incarnation knows nothing of the last."""
+        """Create an empty ledger; it holds no requests of an earlier incarnation."""
         self._instance_id = instance_id
         self._incarnation = incarnation
         self._started_at_ms = now_ms()
@@ -77,9 +77,10 @@
         return int(now_ms() - self._started_at_ms)
 
     def check_ticket(self, ticket: Ticket) -> AnswerEnd | None:
-        """Return how to refuse a ticket, None if it is ours and fresh.
+        """Return how to refuse a ticket, None if it belongs to this incarnation and is valid.
 
-        A ticket that is not ours may have run elsewhere, so it is never called not run.
+        A request with another incarnation's ticket may have run there, so its outcome is unknown and
+        never not_run.
         """
         if (ticket.instance_id, ticket.incarnation) != (self._instance_id, self._incarnation):
             return unknown(Reason.TICKET_ELSEWHERE)
@@ -88,7 +89,7 @@
         return None
 
     def earlier(self, organisation: OrganisationId, request_id: RequestId) -> AnswerEnd | None:
-        """Return what became of an earlier try, None if there was none that may have run."""
+        """Return the outcome of an earlier attempt, None if none may have run."""
         entry = self._entries.get((organisation, request_id))
         if entry and entry.state is EntryState.RUNNING:
             return unknown(Reason.DUPLICATE)
@@ -97,7 +98,7 @@
         return None
 
     def begin(self, organisation: OrganisationId, request_id: RequestId) -> AnswerEnd | None:
-        """Note that a request runs; return how to answer if it must not run now."""
+        """Record that a request runs; return how to answer it instead if it must not run."""
         earlier = self.earlier(organisation, request_id)
         if earlier:
             return earlier
@@ -110,7 +111,7 @@
         return None
 
     def end(self, organisation: OrganisationId, request_id: RequestId, end: AnswerEnd) -> None:
-        """Note how a request ended."""
+        """Record how a request ended."""
         entry = self._entries.get((organisation, request_id))
         assert entry and entry.state is EntryState.RUNNING, f"request {request_id} ended twice"
         entry.state = EntryState.ENDED
@@ -127,5 +128,5 @@
             del self._entries[key]
 
     def __len__(self) -> int:
-        """Return how many requests are remembered."""
+        """Return how many requests are recorded."""
         return len(self._entries)
--- a/sparline/requests/_reasons.py
+++ b/sparline/requests/_reasons.py
@@ -4,10 +4,10 @@
 
 
 class Reason(StrEnum):
-    """Name why a request was refused, tried again or lost from sight."""
+    """Name why a request was refused or retried, or why its outcome is unknown."""
 
     NONE = "none"
-    # Refused before any routing.
+    # Refused before routing.
     BAD_REQUEST = "bad_request"
     NO_KEY = "no_key"
     UNKNOWN_KEY = "unknown_key"
@@ -39,7 +39,7 @@
     PEER_NO_GRANT = "peer_no_grant"
     PEER_NOT_RUN = "peer_not_run"
     MISDIRECTED = "misdirected"
-    # Why it is not known whether an attempt ran to its end.
+    # Why the outcome of an attempt is unknown.
     BROKEN_BEFORE_ANSWER = "broken_before_answer"
     BROKEN_IN_ANSWER = "broken_in_answer"
     PEER_LOST = "peer_lost"
--- a/sparline/requests/_routed.py
+++ b/sparline/requests/_routed.py
@@ -1,4 +1,4 @@
-"""A request that a route describes: what the gateway needs to place and forward it."""
+"""Requests matched to a route, with what the gateway needs to schedule and forward them."""
 
 from dataclasses import dataclass, field
 
@@ -9,54 +9,54 @@
 from sparline.requests._types import Origin
 from sparline.routes import Route, ServiceName
 
-# Headers by which callers differ, in lower case.
+# Headers that identify a caller, in lower case.
 CALLER_HEADERS = frozenset((b"host", b"authorization"))
 
 
 @dataclass(frozen=True, slots=True)
 class PromptStart:
-    """Name a start of a prompt that other prompts share."""
+    """Identify a prompt prefix that other prompts share."""
 
-    key: str  # names the part and all before it
-    own_tokens: int  # tokens of its last part
+    key: str  # identifies the whole prefix up to and including its last part
+    own_tokens: int  # tokens of the last part
 
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
     """Describe the prompt of a request to a model engine."""
 
-    tokens: int  # whole length
-    most_output_tokens: int  # longest answer
-    shared_starts: tuple[PromptStart, ...]  # longer and longer starts that others share
+    tokens: int  # length of the prompt
+    most_output_tokens: int  # limit on the length of the answer
+    shared_starts: tuple[PromptStart, ...]  # shared prefixes, from the shortest to the longest
 
     @property
     def shared_tokens(self) -> int:
-        """Return the length of the longest shared start."""
+        """Return the length of the longest shared prefix in tokens."""
         return sum(start.own_tokens for start in self.shared_starts)
 
     @property
     def held_tokens(self) -> int:
-        """Return the memory that a run takes at the most."""
+        """Return the most cache tokens that a run can occupy."""
         return self.tokens + self.most_output_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class RoutedRequest:
-    """Hold one request on its way through an instance."""
+    """Hold one request while an instance processes it."""
 
     request_id: RequestId  # as the caller sent it
-    route: Route  # what the configuration says of it
-    service: ServiceName  # which service of the route's takes it
-    method: bytes  # as sent
-    target: bytes  # path and query as sent
-    headers: list[tuple[bytes, bytes]]  # headers to pass on, names in lower case
+    route: Route  # route that matches it in the configuration
+    service: ServiceName  # service of the route that handles it
+    method: bytes  # as the caller sent it
+    target: bytes  # path and query, as the caller sent them
+    headers: list[tuple[bytes, bytes]]  # headers to forward, names in lower case
     body: bytes  # without framing
-    prompt: Prompt | None  # for model engines
-    resume_after: int | None  # last event that the caller has of an earlier answer
-    deadline_at_ms: float  # when nobody waits any more, on this process's clock
-    origin: Origin  # caller or peer
-    caller: KnownCaller | None = None  # whose request it is, None where no key was asked for
-    arrived_at_ms: float = field(default_factory=now_ms)  # when it was read
+    prompt: Prompt | None  # only for model engines
+    resume_after: int | None  # last event of an earlier answer that the caller received
+    deadline_at_ms: float  # deadline, on this process's clock
+    origin: Origin  # received from a caller or from a peer
+    caller: KnownCaller | None = None  # authenticated caller, None where no key was required
+    arrived_at_ms: float = field(default_factory=now_ms)  # when it was received
 
     def left_ms(self) -> float:
         """Return the time left before the deadline."""
@@ -64,21 +64,21 @@
 
     @property
     def priority(self) -> int:
-        """Return its rank, 0 for the most urgent: its organisation's goes before the route's."""
+        """Return its priority, 0 the most urgent; the organisation's overrides the route's."""
         own = self.caller.organisation.priority if self.caller else None
         return self.route.priority if own is None else own
 
     def allows(self, region: RegionName) -> bool:
-        """Tell whether it may run in a region, by its route and by its organisation."""
+        """Tell whether both its route and its organisation allow it to run in a region."""
         if not self.route.allows(region):
             return False
         return self.caller is None or self.caller.organisation.allows(region)
 
     def digest(self) -> RequestDigest:
-        """Return what a caller's repeats of a request have in common, whatever their ids.
+        """Return a digest that is equal for all repeats of a request by one caller.
 
-        A caller is known by its host, organisation and key, or by its host and credentials where no
-        key was asked for: no other caller's request has the digest.
+        It leaves out the request ID. It covers the caller's host and credentials and, where a key was
+        required, its organisation and key, so that requests of other callers have other digests.
         """
         caller = [of for name, of in self.headers if name in CALLER_HEADERS]
         if self.caller is not None:
--- a/sparline/requests/_types.py
+++ b/sparline/requests/_types.py
@@ -1,4 +1,4 @@
-"""Requests on their way through an instance, and the parts of their answers."""
+"""Requests that an instance processes, and the parts of their answers."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 
 class TargetKind(Enum):
-    """Name what a request is for."""
+    """Name the kind of target that a request addresses."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -27,7 +27,7 @@
 
 
 class Length(Enum):
-    """Name how much room a request takes."""
+    """Name the size class of a request, by which capacity is counted."""
 
     SHORT = "short"
     LONG = "long"
@@ -35,36 +35,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """Hold one request as routing sees it."""
+    """Hold one request as the router sees it."""
 
-    request_id: RequestId  # id that the caller gave or that was made for it
-    organisation: OrganisationId  # whom it is accounted to
+    request_id: RequestId  # ID given by the caller or generated
+    organisation: OrganisationId  # organisation that it is charged to
     residency_rule: str  # rule that names the allowed regions
     target: TargetName  # model or service
     kind: TargetKind  # what the target is
     adapter: str  # adapter of the model, empty for none
     prompt_tokens: int  # estimated length of the prompt
-    output_tokens: int  # longest answer
-    prefix_keys: tuple[int, ...]  # hashes of longer and longer starts of the prompt
-    length: Length  # how much room it takes
-    deadline_at_ms: float  # end of the deadline, on this process's clock
-    priority: int  # higher goes first
+    output_tokens: int  # limit on the length of the answer
+    prefix_keys: tuple[int, ...]  # hashes of prompt prefixes, from the shortest to the longest
+    length: Length  # size class
+    deadline_at_ms: float  # deadline, on this process's clock
+    priority: int  # a higher value is served earlier
     repeatable: bool  # whether a second run is harmless
     method: str  # HTTP method
-    path: str  # path at the backend server
+    path: str  # path on the backend server
     content_type: str  # type of the body
-    body: RequestBody  # what to send
-    origin: Origin  # caller or relay
-    from_region: RegionName  # region of the instance that the caller asked
-    still_wanted: Callable[[], bool]  # whether whoever asked still listens
+    body: RequestBody  # body to send
+    origin: Origin  # received from a caller or relayed by a peer
+    from_region: RegionName  # region of the instance that received it from the caller
+    still_wanted: Callable[
+        [], bool
+    ]  # whether the caller or sending peer still waits for the answer
 
     @property
     def routing_key(self) -> str:
-        """Return the name under which zones sum up their room."""
+        """Return the name under which zones report their free capacity."""
         return f"{self.target}+{self.adapter}" if self.adapter else self.target
 
     def digest(self) -> RequestDigest | None:
-        """Return what an organisation's repeats have in common; None before the body is read."""
+        """Return a digest equal for an organisation's repeats; None unless the body is buffered."""
         content = self.body.content
         if content is None:
             return None
@@ -78,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """Begin an answer."""
+    """Carry the status and headers of an answer."""
 
     status: int  # HTTP status of the backend server
     content_type: str  # type of the answer
@@ -87,18 +89,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerChunk:
-    """Carry a part of an answer; from an engine exactly one token's event."""
+    """Carry a part of an answer; from an engine, exactly the event of one token."""
 
     data: bytes  # as the backend server sent it
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerEnd:
-    """End an attempt or an answer; NOT_RUN is said only with proof."""
+    """End an attempt or an answer; not_run is used only if the request provably did not run."""
 
-    outcome: Outcome  # what became of it
-    reason: Reason = Reason.NONE  # why, unless it is complete
-    retry_after_ms: int = 0  # when to come back
+    outcome: Outcome  # complete, not_run or unknown
+    reason: Reason = Reason.NONE  # cause, unless the outcome is complete
+    retry_after_ms: int = 0  # delay before a retry, 0 for none given
 
 
 AnswerPart = AnswerHead | AnswerChunk | AnswerEnd
@@ -106,12 +108,12 @@
 
 
 def not_run(reason: Reason, retry_after_ms: float = 0) -> AnswerEnd:
-    """End an attempt that is proved not to have run."""
+    """Return the end of an attempt that provably did not run."""
     return AnswerEnd(Outcome.not_run, reason, int(retry_after_ms))
 
 
 def unknown(reason: Reason) -> AnswerEnd:
-    """End an attempt that may have run."""
+    """Return the end of an attempt that may have run."""
     return AnswerEnd(Outcome.unknown, reason)
 
 
--- a/sparline/requests/tests/test_ledger.py
+++ b/sparline/requests/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tickets bind a request to one incarnation, and an id runs at most once there."""
+"""Tickets bind a request to one incarnation, where a request ID runs at most once."""
 
 import pytest
 
@@ -23,11 +23,11 @@
 
 TICKETS = [
     # name, ticket, refusal
-    ("ours and fresh", Ticket(ME, NOW, 0, "n"), None),
+    ("valid ticket of this incarnation", Ticket(ME, NOW, 0, "n"), None),
     ("another instance", Ticket(InstanceId("a-1"), NOW, 0, "n"), Reason.TICKET_ELSEWHERE),
     ("an earlier incarnation", Ticket(ME, Incarnation("before"), 0, "n"), Reason.TICKET_ELSEWHERE),
-    ("from the future", Ticket(ME, NOW, 60_000, "n"), Reason.TICKET_EXPIRED),
-    ("too old", Ticket(ME, NOW, -TICKET_TTL_MS - 1, "n"), Reason.TICKET_EXPIRED),
+    ("issued in the future", Ticket(ME, NOW, 60_000, "n"), Reason.TICKET_EXPIRED),
+    ("expired", Ticket(ME, NOW, -TICKET_TTL_MS - 1, "n"), Reason.TICKET_EXPIRED),
 ]
 
 
@@ -35,21 +35,21 @@
 def test_ticket(name: str, ticket: Ticket, reason: Reason | None) -> None:
     refusal = RequestLedger(ME, NOW).check_ticket(ticket)
     assert (refusal.reason if refusal else None) is reason
-    # It may have run where it belongs, so it is never called not run.
+    # It may have run on the instance that issued it, so the outcome is never not_run.
     assert refusal is None or refusal.outcome is Outcome.unknown
 
 
 REPEATS = [
-    # name, how the first try ended (None: it runs), answer to the second
-    ("first runs still", None, unknown(Reason.DUPLICATE)),
-    ("first was complete", COMPLETE, AnswerEnd(Outcome.complete, Reason.DUPLICATE)),
+    # name, end of the first attempt (None: still running), answer to the second
+    ("first is still running", None, unknown(Reason.DUPLICATE)),
+    ("first is complete", COMPLETE, AnswerEnd(Outcome.complete, Reason.DUPLICATE)),
     ("first is unknown", unknown(Reason.PEER_LOST), AnswerEnd(Outcome.unknown, Reason.DUPLICATE)),
-    ("first was not run", not_run(Reason.OVERLOADED), None),
+    ("first is not_run", not_run(Reason.OVERLOADED), None),
 ]
 
 
 @pytest.mark.parametrize(("name", "first", "second"), REPEATS, ids=[row[0] for row in REPEATS])
-def test_second_try(name: str, first: AnswerEnd | None, second: AnswerEnd | None) -> None:
+def test_second_attempt(name: str, first: AnswerEnd | None, second: AnswerEnd | None) -> None:
     ledger = RequestLedger(ME, NOW)
     assert ledger.begin(ORG, ID) is None
     if first:
@@ -72,20 +72,20 @@
     assert parse_ticket(text).is_err()
 
 
-def test_ticket_survives_the_way_to_the_caller_and_back() -> None:
+def test_ticket_round_trips_through_text() -> None:
     ticket = make_ticket(ME, NOW, 17)
     assert parse_ticket(str(ticket)).unwrap() == ticket
 
 
 BODIES = [
-    # name, parts, whether it can be sent again
+    # name, parts, whether the body can be replayed
     ("small", [b"a" * 1000] * 3, True),
     ("large", [b"a" * 30_000] * 20, False),
 ]
 
 
 @pytest.mark.parametrize(("name", "parts", "replayable"), BODIES, ids=[row[0] for row in BODIES])
-def test_body_is_given_again_only_while_it_is_kept(
+def test_body_is_replayable_only_while_it_is_buffered(
     name: str, parts: list[bytes], replayable: bool
 ) -> None:
     rest = iter(parts)
@@ -96,7 +96,7 @@
         assert b"".join(body.parts()) == b"".join(parts)
 
 
-def test_parts_of_a_known_body_fit_a_frame() -> None:
+def test_parts_of_a_buffered_body_fit_in_a_frame() -> None:
     content = b"x" * 3_500_000
     parts = list(RequestBody.of(content).parts())
     assert b"".join(parts) == content
