--- a/sparline/routes/_organisations.py
+++ b/sparline/routes/_organisations.py
@@ -1,4 +1,4 @@
-"""Organisations: whose keys callers show, where their requests may run, and how much they may ask."""
+"""Organisations: their API keys, the regions that may run their requests, and their quotas."""
 
 import hashlib
 from collections.abc import Iterable
@@ -8,15 +8,15 @@
 
 from sparline._ids import OrganisationId, RegionName
 
-# Names a key without telling it; nothing but the digest of a key is kept or sent on.
+# Identifies a key without revealing it; only digests of keys are stored or sent to peers.
 KeyDigest = NewType("KeyDigest", bytes)
 
-# Long enough that no key can be made to fit another one's digest (bytes).
+# Bytes of a digest: enough that nobody can construct a key with the digest of another key.
 DIGEST_BYTES = 16
 
 
 class QuotaUnit(Enum):
-    """Name what a quota counts."""
+    """Name the unit in which a quota is counted."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -24,15 +24,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """Bound what an organisation may ask of all instances together."""
+    """Limit the rate at which an organisation may use all instances together."""
 
-    unit: QuotaUnit  # what is counted
-    per_s: float  # units that come each second
-    burst: float  # units that may be saved up
-    plain_cost: float  # units of a request that tells no tokens
+    unit: QuotaUnit  # unit that is counted
+    per_s: float  # units added each second
+    burst: float  # most units that may accumulate
+    plain_cost: float  # units of a request that states no token count
 
     def cost(self, tokens: int | None) -> float:
-        """Return what a request counts, from the tokens that it tells."""
+        """Return the units that a request costs, from the token count that it states."""
         if self.unit is QuotaUnit.REQUESTS:
             return 1.0
         return self.plain_cost if tokens is None else float(tokens)
@@ -42,11 +42,11 @@
 class Organisation:
     """Describe one organisation."""
 
-    id: OrganisationId  # the operators' name
-    keys: frozenset[KeyDigest]  # keys that its callers show
+    id: OrganisationId  # name given by the operators
+    keys: frozenset[KeyDigest]  # digests of the keys that its callers present
     priority: int | None  # 0 is the most urgent, None where the route decides
     homes: frozenset[RegionName]  # regions that may run its requests, empty for all
-    quota: Quota | None  # None for no bound
+    quota: Quota | None  # None for no limit
 
     def allows(self, region: RegionName) -> bool:
         """Tell whether its requests may run in a region."""
@@ -57,17 +57,17 @@
 class Organisations:
     """Find organisations by name and by key."""
 
-    by_id: dict[OrganisationId, Organisation]  # all of them
+    by_id: dict[OrganisationId, Organisation]  # all organisations
     by_key: dict[KeyDigest, Organisation]  # by the digest of each key
 
 
 def digest_of_key(key: bytes) -> KeyDigest:
-    """Return the digest by which a key is known; what is looked up tells nothing of the key."""
+    """Return the digest that identifies a key; looking it up reveals nothing about the key."""
     return KeyDigest(hashlib.sha256(key).digest()[:DIGEST_BYTES])
 
 
 def make_organisations(found: Iterable[Organisation]) -> Organisations:
-    """Index organisations whose names and keys are known to differ."""
+    """Index organisations; the caller has checked that their names and keys are unique."""
     by_id = {one.id: one for one in found}
     by_key = {key: one for one in by_id.values() for key in one.keys}
     return Organisations(by_id, by_key)
