--- a/sparline/relay/_receiver.py
+++ b/sparline/relay/_receiver.py
@@ -66,7 +66,7 @@
             while True:
                 match _receive(connection, None):
                     case Ok(RelayOffer() as offer):
-                        self._serve_one(connection, peer, offer)
+                        self._serve_request(connection, peer, offer)
                     case Ok(RelayBody()):
                         continue  # body of a repeatable request that was refused while it was sent
                     case _:
@@ -74,13 +74,13 @@
         except (ConnectionClosed, OSError):
             return
 
-    def _serve_one(self, connection: Connection, peer: Hello, offer: RelayOffer) -> None:
+    def _serve_request(self, connection: Connection, peer: Hello, offer: RelayOffer) -> None:
         # The deadline counts from the receipt of the offer, so it misses any time that the
         # offer waited in a suspended process. Such a request is detected by its connection,
         # which the sender closes when it gives up.
         deadline_at_ms = now_ms() + offer.deadline_ms
-        refusal = self._refusal(
-            offer, self._as_request(connection, offer, deadline_at_ms, _PENDING)
+        refusal = self._refusal_reason(
+            offer, self._build_request(connection, offer, deadline_at_ms, _BODY_PLACEHOLDER)
         )
         self._metrics.relayed.labels(peer.region, refusal or "taken").inc()
         if refusal:
@@ -94,14 +94,14 @@
             )
             connection.close()
             return
-        request = self._as_request(connection, offer, deadline_at_ms, body.unwrap())
+        request = self._build_request(connection, offer, deadline_at_ms, body.unwrap())
         self.in_flight += 1
         try:
-            self._answer(connection, offer, request)
+            self._stream_answer(connection, offer, request)
         finally:
             self.in_flight -= 1
 
-    def _refusal(self, offer: RelayOffer, request: Request) -> Reason | None:
+    def _refusal_reason(self, offer: RelayOffer, request: Request) -> Reason | None:
         own_region = RegionName(self._membership.self_hello.region)
         if own_region not in self.catalog.allowed_regions(offer.residency_rule):
             return Reason.RESIDENCY
@@ -111,7 +111,7 @@
             return Reason.CALLER_GONE
         return None if self._dispatcher.takes_relayed(request) else Reason.PEER_NO_ROOM
 
-    def _as_request(
+    def _build_request(
         self, connection: Connection, offer: RelayOffer, deadline_at_ms: float, body: RelayBody
     ) -> Request:
         target = TargetName(offer.target)
@@ -133,22 +133,22 @@
             method=body.method,
             path=body.path,
             content_type=body.content_type,
-            body=_body_of(connection, body),
+            body=_request_body(connection, body),
             origin=Origin.RELAY,
             from_region=RegionName(offer.from_region),
             still_wanted=lambda: connection.close_code is None,
         )
 
-    def _answer(self, connection: Connection, offer: RelayOffer, request: Request) -> None:
+    def _stream_answer(self, connection: Connection, offer: RelayOffer, request: Request) -> None:
         answer = self._dispatcher.run(request, offer.resume_from)
         try:
             for part in answer:
-                connection.send(encode(_frame(offer, part)))
+                connection.send(encode(_to_message(offer, part)))
         finally:
             answer.close()
 
 
-_PENDING = RelayBody("", "", "", "", 0, b"", False)
+_BODY_PLACEHOLDER = RelayBody("", "", "", "", 0, b"", False)
 
 
 def _prefix_keys(offer: RelayOffer, body: RelayBody) -> tuple[int, ...]:
@@ -160,20 +160,20 @@
     return prefix_keys(offer.organisation, offer.target, prompt)
 
 
-def _body_of(connection: Connection, first: RelayBody) -> RequestBody:
+def _request_body(connection: Connection, first: RelayBody) -> RequestBody:
     if not first.more:
         return RequestBody.of(first.body)
-    parts = _following_parts(connection, first)
+    parts = _body_parts(connection, first)
     return RequestBody(lambda _size: next(parts, b""), first.length)
 
 
-def _following_parts(connection: Connection, first: RelayBody) -> Iterator[bytes]:
+def _body_parts(connection: Connection, first: RelayBody) -> Iterator[bytes]:
     part = first
     yield part.body
     while part.more:
         match _receive(connection, BODY_TIMEOUT_S):
-            case Ok(RelayBody() as following) if following.attempt == first.attempt:
-                part = following
+            case Ok(RelayBody() as next_part) if next_part.attempt == first.attempt:
+                part = next_part
                 yield part.body
             case _:
                 raise ConnectionResetError("peer did not send the rest of the request body")
@@ -186,7 +186,7 @@
         return Err("timed out waiting for a message")
 
 
-def _frame(offer: RelayOffer, part: AnswerPart) -> Message:
+def _to_message(offer: RelayOffer, part: AnswerPart) -> Message:
     match part:
         case AnswerHead(status, content_type, content_length):
             return RelayHead(offer.attempt, status, content_type, content_length)
--- a/sparline/relay/_sender.py
+++ b/sparline/relay/_sender.py
@@ -70,12 +70,12 @@
         self._spare.take(candidate.zone, room_key(request))
         try:
             end = yield from self._relay(request, candidate, candidate.instance_id, resume_from)
-            self._learn(candidate, request, end)
+            self._record_result(candidate, request, end)
             yield end
         finally:
             self._spare.give_back(candidate.zone, room_key(request))
 
-    def _learn(self, candidate: RemoteCandidate, request: Request, end: AnswerEnd) -> None:
+    def _record_result(self, candidate: RemoteCandidate, request: Request, end: AnswerEnd) -> None:
         if end.outcome is Outcome.complete:
             self._spare.accepted(candidate.zone, room_key(request))
         elif end.reason is not Reason.CALLER_GONE:
@@ -84,7 +84,7 @@
     def _relay(
         self, request: Request, candidate: RemoteCandidate, peer_id: InstanceId, resume_from: int
     ) -> Generator[AnswerPart, None, AnswerEnd]:
-        opened = self._open(peer_id)
+        opened = self._get_connection(peer_id)
         if opened.is_err():
             self._membership.note_unreachable(peer_id)
             return not_run(Reason.PEER_UNREACHABLE)
@@ -95,12 +95,12 @@
             self._close(exchange.connection)
             raise
         if exchange.reusable:
-            self._keep(peer_id, exchange.connection)
+            self._keep_idle(peer_id, exchange.connection)
         else:
             self._close(exchange.connection)
         return end
 
-    def _open(self, peer_id: InstanceId) -> Result[Connection, str]:
+    def _get_connection(self, peer_id: InstanceId) -> Result[Connection, str]:
         idle = self._idle[peer_id]
         while idle:
             connection = idle.pop()
@@ -116,7 +116,7 @@
         address = Address(ip=member.ip, port=member.port)
         return self._dialer.dial(address, hello, peer_id).map(lambda pair: pair[0])
 
-    def _keep(self, peer_id: InstanceId, connection: Connection) -> None:
+    def _keep_idle(self, peer_id: InstanceId, connection: Connection) -> None:
         if len(self._idle[peer_id]) < MAX_IDLE_CONNECTIONS:
             self._idle[peer_id].append(connection)
         else:
@@ -150,14 +150,14 @@
         self._candidate = candidate
         self._resume_from = resume_from
         self._attempt = uuid.uuid4().hex
-        self._bytes = metrics.wide_area_bytes.labels(candidate.region)
+        self._bytes_counter = metrics.wide_area_bytes.labels(candidate.region)
         self._body_sent = False  # whether any of the body may have been sent
 
     def run(self) -> Generator[AnswerPart, None, AnswerEnd]:
         try:
             end = yield from self._run()
         except (ConnectionClosed, OSError):
-            return self._lost(Reason.PEER_LOST)
+            return self._lost_end(Reason.PEER_LOST)
         return end
 
     def _run(self) -> Generator[AnswerPart, None, AnswerEnd]:
@@ -196,7 +196,7 @@
             case Ok(RelayGrant()):
                 pass
             case Ok(RelayRefusal() as refusal):
-                return self._refused(refusal)
+                return self._refusal_end(refusal)
             case Ok(_):
                 return not_run(Reason.PEER_NO_GRANT)
             case Err(Reason.DEADLINE_PASSED):
@@ -213,8 +213,8 @@
         parts = request.body.parts()
         part = next(parts, b"")
         while True:
-            following = next(parts, None)
-            more = following is not None
+            next_part = next(parts, None)
+            more = next_part is not None
             self._send(
                 RelayBody(
                     self._attempt,
@@ -226,9 +226,9 @@
                     more,
                 )
             )
-            if following is None:
+            if next_part is None:
                 return
-            part = following
+            part = next_part
 
     def _read_answer(self) -> Generator[AnswerPart, None, AnswerEnd]:
         while True:
@@ -238,29 +238,29 @@
                 case Ok(RelayGrant()):
                     continue
                 case Ok(RelayRefusal() as refusal):
-                    return self._refused(refusal)
+                    return self._refusal_end(refusal)
                 case Ok(RelayHead(_, status, content_type, content_length)):
                     yield AnswerHead(status, content_type, content_length)
                 case Ok(RelayChunk(_, data)):
                     yield AnswerChunk(data)
                 case Ok(RelayEnd(_, outcome, reason)):
                     self.reusable = True
-                    return AnswerEnd(outcome, _read_reason(reason))
+                    return AnswerEnd(outcome, _parse_reason(reason))
                 case Ok(_):
-                    return self._lost(Reason.PEER_LOST)
+                    return self._lost_end(Reason.PEER_LOST)
 
-    def _refused(self, refusal: RelayRefusal) -> AnswerEnd:
+    def _refusal_end(self, refusal: RelayRefusal) -> AnswerEnd:
         """End an attempt as not run: the peer refused the request and did not execute it."""
         self.reusable = True
-        return not_run(_read_reason(refusal.reason), refusal.retry_after_ms)
+        return not_run(_parse_reason(refusal.reason), refusal.retry_after_ms)
 
-    def _lost(self, reason: Reason) -> AnswerEnd:
+    def _lost_end(self, reason: Reason) -> AnswerEnd:
         return unknown(reason) if self._body_sent else not_run(reason)
 
     def _send(self, message: Message) -> None:
         data = encode(message)
         self.connection.send(data)
-        self._bytes.inc(len(data))
+        self._bytes_counter.inc(len(data))
 
     def _receive(self, give_up_ms: float) -> Result[Message, Reason]:
         """Read one message of this attempt; a message of another one ends the connection."""
@@ -273,14 +273,14 @@
                 data = self.connection.recv(timeout=READ_SLICE_S)
             except TimeoutError:
                 continue
-            self._bytes.inc(len(data))
+            self._bytes_counter.inc(len(data))
             message = decode(data)
             if message.is_err() or getattr(message.unwrap(), "attempt", None) != self._attempt:
                 return Err(Reason.PEER_LOST)
             return Ok(message.unwrap())
 
 
-def _read_reason(text: str) -> Reason:
+def _parse_reason(text: str) -> Reason:
     try:
         return Reason(text)
     except ValueError:
--- a/sparline/relay/tests/test_sender.py
+++ b/sparline/relay/tests/test_sender.py
@@ -50,11 +50,11 @@
     return decode(connection.recv()).unwrap()
 
 
-def hang_up(connection: Connection, _offer: RelayOffer) -> None:
+def disconnect(connection: Connection, _offer: RelayOffer) -> None:
     connection.socket.close()
 
 
-def freeze(_connection: Connection, _offer: RelayOffer) -> None:
+def stall(_connection: Connection, _offer: RelayOffer) -> None:
     gevent.sleep(3)
 
 
@@ -66,7 +66,7 @@
     connection.send(encode(RelayGrant(offer.attempt, "1")))
 
 
-def take_body(connection: Connection, _offer: RelayOffer) -> None:
+def receive_body(connection: Connection, _offer: RelayOffer) -> None:
     assert isinstance(read(connection), RelayBody)
 
 
@@ -78,11 +78,11 @@
     connection.send(encode(RelayChunk(offer.attempt, b"data: mine\n\n")))
 
 
-def crossed_chunk(connection: Connection, _offer: RelayOffer) -> None:
+def chunk_of_other_attempt(connection: Connection, _offer: RelayOffer) -> None:
     connection.send(encode(RelayChunk("another", b"data: not yours\n\n")))
 
 
-def garbage(connection: Connection, _offer: RelayOffer) -> None:
+def malformed_message(connection: Connection, _offer: RelayOffer) -> None:
     connection.send(b"\xff\xff")
 
 
@@ -92,29 +92,34 @@
 
 CASES = [
     # name, peer's steps after the offer, outcome if repeatable, outcome if not repeatable
-    ("disconnects after the offer", [hang_up], "unknown", "not_run"),
-    ("stalls after the offer", [freeze], "unknown", "not_run"),
+    ("disconnects after the offer", [disconnect], "unknown", "not_run"),
+    ("stalls after the offer", [stall], "unknown", "not_run"),
     ("refuses", [refuse], "not_run", "not_run"),
-    ("answers with a malformed message", [garbage], "unknown", "not_run"),
-    ("answers for another attempt", [crossed_chunk], "unknown", "not_run"),
-    ("disconnects after the grant", [grant, hang_up], "unknown", "unknown"),
-    ("stalls after the grant", [grant, freeze], "unknown", "unknown"),
-    ("disconnects after the body", [grant, take_body, hang_up], "unknown", "unknown"),
-    ("refuses after the body", [grant, take_body, refuse], "not_run", "not_run"),
+    ("answers with a malformed message", [malformed_message], "unknown", "not_run"),
+    ("answers for another attempt", [chunk_of_other_attempt], "unknown", "not_run"),
+    ("disconnects after the grant", [grant, disconnect], "unknown", "unknown"),
+    ("stalls after the grant", [grant, stall], "unknown", "unknown"),
+    ("disconnects after the body", [grant, receive_body, disconnect], "unknown", "unknown"),
+    ("refuses after the body", [grant, receive_body, refuse], "not_run", "not_run"),
     (
         "disconnects during the answer",
-        [grant, take_body, head, chunk, hang_up],
+        [grant, receive_body, head, chunk, disconnect],
         "unknown",
         "unknown",
     ),
     (
         "chunk of another attempt in the answer",
-        [grant, take_body, head, chunk, crossed_chunk],
+        [grant, receive_body, head, chunk, chunk_of_other_attempt],
         "unknown",
         "unknown",
     ),
-    ("malformed message in the answer", [grant, take_body, head, garbage], "unknown", "unknown"),
-    ("complete answer", [grant, take_body, head, chunk, complete], "complete", "complete"),
+    (
+        "malformed message in the answer",
+        [grant, receive_body, head, malformed_message],
+        "unknown",
+        "unknown",
+    ),
+    ("complete answer", [grant, receive_body, head, chunk, complete], "complete", "complete"),
 ]
 
 
@@ -205,15 +210,24 @@
 
 
 @pytest.mark.parametrize("repeatable", [True, False], ids=["repeatable", "not repeatable"])
-@pytest.mark.parametrize(("name", "steps", "may", "may_not"), CASES, ids=[row[0] for row in CASES])
+@pytest.mark.parametrize(
+    ("name", "steps", "repeatable_outcome", "not_repeatable_outcome"),
+    CASES,
+    ids=[row[0] for row in CASES],
+)
 def test_outcome_when_peer_fails_at_a_step(
-    peer: SimpleNamespace, name: str, steps: list[Step], may: str, may_not: str, repeatable: bool
+    peer: SimpleNamespace,
+    name: str,
+    steps: list[Step],
+    repeatable_outcome: str,
+    not_repeatable_outcome: str,
+    repeatable: bool,
 ) -> None:
     peer.fake = FakePeer(steps)
     parts = send(peer.fake.port, make_request(repeatable))
     end = parts[-1]
     assert isinstance(end, AnswerEnd)
-    assert end.outcome.value == (may if repeatable else may_not), end
+    assert end.outcome.value == (repeatable_outcome if repeatable else not_repeatable_outcome), end
     assert [part.data for part in parts if isinstance(part, AnswerChunk)] in (
         [],
         [b"data: mine\n\n"],
@@ -226,8 +240,8 @@
 
 
 def test_another_instance_at_the_address_is_not_sent_the_request(peer: SimpleNamespace) -> None:
-    impostor = Hello("c-9", "1", "south", "zone-b", LinkPurpose.relay)
-    peer.fake = FakePeer([grant, take_body, complete], impostor)
+    other_hello = Hello("c-9", "1", "south", "zone-b", LinkPurpose.relay)
+    peer.fake = FakePeer([grant, receive_body, complete], other_hello)
     parts = send(peer.fake.port, make_request(repeatable=False))
     assert [part.outcome for part in parts] == [Outcome.not_run]
 
--- a/sparline/tests/test_invariants.py
+++ b/sparline/tests/test_invariants.py
@@ -118,10 +118,10 @@
 
     steps = [
         peers.grant,
-        peers.take_body,
+        peers.receive_body,
         peers.head,
         peers.chunk,
-        peers.crossed_chunk,
+        peers.chunk_of_other_attempt,
         peers.complete,
     ]
     fake = peers.FakePeer(steps)
