--- a/sparline/requests/_body.py
+++ b/sparline/requests/_body.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable, Iterator
 
-PART_BYTES = 32_768
-KEPT_BYTES = 262_144
+READ_BYTES = 32_768
+MAX_BUFFERED_BYTES = 262_144
 # Bounds each part so that it fits in one frame between instances.
-LARGEST_PART_BYTES = 1_000_000
+MAX_PART_BYTES = 1_000_000
 
 # Length of a body whose sender did not state it.
 UNKNOWN_LENGTH = -1
@@ -18,47 +18,47 @@
         """Read from a function that returns empty bytes at the end."""
         self.length = length  # bytes, or UNKNOWN_LENGTH
         self._read = read
-        self._kept: list[bytes] = []
-        self._kept_bytes = 0
-        self._forgotten = False  # whether a part was yielded without being buffered
+        self._buffered: list[bytes] = []
+        self._buffered_bytes = 0
+        self._discarded = False  # whether a part was yielded without being buffered
         self._ended = False
 
     @classmethod
     def of(cls, content: bytes) -> "RequestBody":
         """Return a body with known, fully buffered content."""
         body = cls(lambda _size: b"", len(content))
-        begins = range(0, len(content), LARGEST_PART_BYTES)
-        body._kept = [content[begin : begin + LARGEST_PART_BYTES] for begin in begins]
-        body._kept_bytes = len(content)
+        offsets = range(0, len(content), MAX_PART_BYTES)
+        body._buffered = [content[offset : offset + MAX_PART_BYTES] for offset in offsets]
+        body._buffered_bytes = len(content)
         body._ended = True
         return body
 
     @property
     def replayable(self) -> bool:
         """Tell whether the whole body can still be sent from its start."""
-        return not self._forgotten
+        return not self._discarded
 
     @property
     def content(self) -> bytes | None:
         """Return the whole body, or None if it was not read to its end or not buffered."""
-        return b"".join(self._kept) if self._ended and self.replayable else None
+        return b"".join(self._buffered) if self._ended and self.replayable else None
 
     def parts(self) -> Iterator[bytes]:
         """Yield the body from its start."""
         assert self.replayable, "a body that was not buffered can't be replayed"
-        yield from list(self._kept)
+        yield from list(self._buffered)
         while not self._ended:
-            part = self._read(PART_BYTES)
+            part = self._read(READ_BYTES)
             if not part:
                 self._ended = True
                 return
-            self._keep(part)
+            self._buffer(part)
             yield part
 
-    def _keep(self, part: bytes) -> None:
-        if self._kept_bytes + len(part) > KEPT_BYTES:
-            self._forgotten = True
-            self._kept = []
+    def _buffer(self, part: bytes) -> None:
+        if self._buffered_bytes + len(part) > MAX_BUFFERED_BYTES:
+            self._discarded = True
+            self._buffered = []
             return
-        self._kept.append(part)
-        self._kept_bytes += len(part)
+        self._buffered.append(part)
+        self._buffered_bytes += len(part)
--- a/sparline/requests/_callers.py
+++ b/sparline/requests/_callers.py
@@ -52,10 +52,10 @@
     text: str  # what was expected and found
 
 
-Whose = Result[KnownCaller | None, Unknown]
+CallerResult = Result[KnownCaller | None, Unknown]
 
 
-def find_caller(configuration: Configuration, route: Route, shown: ShownKey) -> Whose:
+def find_caller(configuration: Configuration, route: Route, shown: ShownKey) -> CallerResult:
     """Return the caller of a request, None where no key is required."""
     known = configuration.organisations
     if known is None:
@@ -73,23 +73,25 @@
     return Ok(KnownCaller(configuration.version, organisation, shown.digest))
 
 
-def find_relayed(configuration: Configuration, route: Route, told: RelayedCaller | None) -> Whose:
+def find_relayed(
+    configuration: Configuration, route: Route, relayed: RelayedCaller | None
+) -> CallerResult:
     """Return the caller of a request that another instance relays.
 
     The instance with the newer configuration decides: a key that is unknown here is accepted unless
     the configuration here is newer than the relaying instance's, which means it was withdrawn.
     """
     known = configuration.organisations
-    if told is None:
+    if relayed is None:
         if known is None or route.is_open:
             return Ok(None)
         return Err(Unknown(Reason.NO_KEY, "expected an organisation, found none told"))
-    organisation = known.by_id.get(told.organisation) if known else None
+    organisation = known.by_id.get(relayed.organisation) if known else None
     if organisation is None:
         return Err(Unknown(Reason.UNKNOWN_KEY, "expected an organisation in force, found another"))
-    if told.key not in organisation.keys and configuration.version > told.version:
+    if relayed.key not in organisation.keys and configuration.version > relayed.version:
         return Err(Unknown(Reason.KEY_WITHDRAWN, "expected a key in force, found a withdrawn one"))
-    return Ok(KnownCaller(configuration.version, organisation, told.key))
+    return Ok(KnownCaller(configuration.version, organisation, relayed.key))
 
 
 def is_withdrawn(configuration: Configuration | None, caller: KnownCaller | None) -> bool:
@@ -99,5 +101,5 @@
     known = configuration.organisations
     if known is None:
         return False
-    holder = known.by_key.get(caller.key)
-    return holder is None or holder.id != caller.organisation.id
+    owner = known.by_key.get(caller.key)
+    return owner is None or owner.id != caller.organisation.id
--- a/sparline/requests/_ledger.py
+++ b/sparline/requests/_ledger.py
@@ -58,7 +58,7 @@
     """Hold the record of one request."""
 
     state: EntryState  # whether the request still runs
-    noted_at_ms: float  # when the state was recorded
+    updated_at_ms: float  # when the state was recorded
     end: AnswerEnd | None = None  # its end, None while it runs
 
 
@@ -103,7 +103,7 @@
         if earlier:
             return earlier
         key = organisation, request_id
-        self._drop_old()
+        self._evict_expired()
         if len(self._entries) >= MAX_ENTRIES:
             return not_run(Reason.OVERLOADED, OUTCOME_TTL_MS / 10)
         self._entries[key] = _Entry(EntryState.RUNNING, now_ms())
@@ -116,14 +116,14 @@
         assert entry and entry.state is EntryState.RUNNING, f"request {request_id} ended twice"
         entry.state = EntryState.ENDED
         entry.end = end
-        entry.noted_at_ms = now_ms()
+        entry.updated_at_ms = now_ms()
         self._entries.move_to_end((organisation, request_id))
 
-    def _drop_old(self) -> None:
-        horizon_ms = now_ms() - OUTCOME_TTL_MS
+    def _evict_expired(self) -> None:
+        oldest_kept_ms = now_ms() - OUTCOME_TTL_MS
         while self._entries:
             key, entry = next(iter(self._entries.items()))
-            if entry.state is EntryState.RUNNING or entry.noted_at_ms > horizon_ms:
+            if entry.state is EntryState.RUNNING or entry.updated_at_ms > oldest_kept_ms:
                 return
             del self._entries[key]
 
--- a/sparline/requests/_routed.py
+++ b/sparline/requests/_routed.py
@@ -80,7 +80,7 @@
         It leaves out the request ID. It covers the caller's host and credentials and, where a key was
         required, its organisation and key, so that requests of other callers have other digests.
         """
-        caller = [of for name, of in self.headers if name in CALLER_HEADERS]
+        caller_parts = [value for name, value in self.headers if name in CALLER_HEADERS]
         if self.caller is not None:
-            caller += [self.caller.organisation.id.encode(), self.caller.key]
-        return digest_of([*caller, self.method, self.target, self.body])
+            caller_parts += [self.caller.organisation.id.encode(), self.caller.key]
+        return digest_of([*caller_parts, self.method, self.target, self.body])
--- a/sparline/requests/_types.py
+++ b/sparline/requests/_types.py
@@ -70,8 +70,8 @@
         content = self.body.content
         if content is None:
             return None
-        told = (self.organisation, self.target, self.adapter, self.method, self.path)
-        return digest_of([*(one.encode() for one in told), content])
+        fields = (self.organisation, self.target, self.adapter, self.method, self.path)
+        return digest_of([*(field.encode() for field in fields), content])
 
     def left_ms(self) -> float:
         """Return the time left before the deadline."""
--- a/sparline/requests/tests/test_callers.py
+++ b/sparline/requests/tests/test_callers.py
@@ -37,11 +37,11 @@
     return make_rules(version=number, organisations=make_organisations(found))
 
 
-HELD = version(5, organisation("ore", MINE), organisation("peat", OTHERS))
+CURRENT = version(5, organisation("ore", MINE), organisation("peat", OTHERS))
 OPEN = make_route(is_open=True)
 CLOSED = make_route()
 
-SHOWN = [
+PRESENTED = [
     # name, presented key, route, expected organisation, expected refusal
     ("a key", ShownKey(MINE), CLOSED, "ore", None),
     ("a key of another organisation", ShownKey(OTHERS), CLOSED, "peat", None),
@@ -57,15 +57,17 @@
 
 
 @pytest.mark.parametrize(
-    ("shown", "route", "whose", "reason"), [row[1:] for row in SHOWN], ids=[row[0] for row in SHOWN]
+    ("shown", "route", "expected", "reason"),
+    [row[1:] for row in PRESENTED],
+    ids=[row[0] for row in PRESENTED],
 )
-def test_caller_is_found_by_key(shown, route, whose, reason):
-    found = find_caller(HELD, route, shown)
+def test_caller_is_found_by_key(shown, route, expected, reason):
+    found = find_caller(CURRENT, route, shown)
     if reason is not None:
         assert found.unwrap_err().reason is reason
         return
     caller = found.unwrap()
-    assert (caller.organisation.id if caller else None) == whose
+    assert (caller.organisation.id if caller else None) == expected
 
 
 def test_no_key_is_required_without_configured_organisations():
@@ -83,7 +85,7 @@
 OLDER = version(4, organisation("ore", MINE))
 SAME = version(5, organisation("ore", MINE, NEW))
 NEWER = version(6, organisation("ore", NEW))
-HOPS = [
+RELAYED = [
     # name, receiver's configuration, sender's version and key, whether the request runs
     ("both have the key", SAME, 5, MINE, True),
     ("a new key, the receiver is behind", OLDER, 5, NEW, True),
@@ -98,21 +100,23 @@
 
 
 @pytest.mark.parametrize(
-    ("held", "told_version", "key", "runs"), [row[1:] for row in HOPS], ids=[row[0] for row in HOPS]
+    ("configuration", "sender_version", "key", "runs"),
+    [row[1:] for row in RELAYED],
+    ids=[row[0] for row in RELAYED],
 )
-def test_instance_with_the_newer_configuration_decides(held, told_version, key, runs):
-    told = RelayedCaller(ConfigurationVersion(told_version), ORE, key)
-    assert find_relayed(held, CLOSED, told).is_ok() is runs
+def test_instance_with_the_newer_configuration_decides(configuration, sender_version, key, runs):
+    relayed = RelayedCaller(ConfigurationVersion(sender_version), ORE, key)
+    assert find_relayed(configuration, CLOSED, relayed).is_ok() is runs
 
 
 @pytest.mark.parametrize(("route", "runs"), [(OPEN, True), (CLOSED, False)])
 def test_relayed_request_without_organisation_runs_only_on_open_routes(route, runs):
-    assert find_relayed(HELD, route, None).is_ok() is runs
+    assert find_relayed(CURRENT, route, None).is_ok() is runs
     assert find_relayed(make_rules(version=5), route, None).is_ok()
 
 
 WITHDRAWN = [
-    ("the same version", HELD, False),
+    ("the same version", CURRENT, False),
     ("still in force in a newer version", version(6, organisation("ore", MINE)), False),
     ("withdrawn", version(6, organisation("ore", NEW)), True),
     ("reassigned to another organisation", version(6, organisation("peat", MINE)), True),
@@ -123,14 +127,16 @@
 
 
 @pytest.mark.parametrize(
-    ("now", "gone"), [row[1:] for row in WITHDRAWN], ids=[row[0] for row in WITHDRAWN]
+    ("configuration", "withdrawn"),
+    [row[1:] for row in WITHDRAWN],
+    ids=[row[0] for row in WITHDRAWN],
 )
-def test_key_withdrawn_while_a_request_runs(now, gone):
-    caller = KnownCaller(HELD.version, HELD.organisations.by_id[ORE], MINE)
-    assert is_withdrawn(now, caller) is gone
+def test_key_withdrawn_while_a_request_runs(configuration, withdrawn):
+    caller = KnownCaller(CURRENT.version, CURRENT.organisations.by_id[ORE], MINE)
+    assert is_withdrawn(configuration, caller) is withdrawn
 
 
-NORTH, SOUTH, WEST = (RegionName(one) for one in ("north", "south", "west"))
+NORTH, SOUTH, WEST = (RegionName(region) for region in ("north", "south", "west"))
 HOMES = [
     ((), (), {NORTH, SOUTH, WEST}),
     ((NORTH, SOUTH), (), {NORTH, SOUTH}),
@@ -142,21 +148,23 @@
 
 @pytest.mark.parametrize(("of_route", "of_organisation", "allowed"), HOMES)
 def test_region_must_be_allowed_by_route_and_organisation(of_route, of_organisation, allowed):
-    whose = KnownCaller(HELD.version, organisation("ore", homes=frozenset(of_organisation)), MINE)
-    request = make_request(make_route(homes=frozenset(of_route)), caller=whose)
-    assert {one for one in (NORTH, SOUTH, WEST) if request.allows(one)} == allowed
+    known_caller = KnownCaller(
+        CURRENT.version, organisation("ore", homes=frozenset(of_organisation)), MINE
+    )
+    request = make_request(make_route(homes=frozenset(of_route)), caller=known_caller)
+    assert {region for region in (NORTH, SOUTH, WEST) if request.allows(region)} == allowed
 
 
-@pytest.mark.parametrize(("own", "rank"), [(None, 2), (0, 0), (7, 7)])
-def test_organisation_priority_overrides_route_priority(own, rank):
-    whose = KnownCaller(HELD.version, organisation("ore", priority=own), MINE)
-    assert make_request(make_route(priority=2), caller=whose).priority == rank
+@pytest.mark.parametrize(("own", "expected"), [(None, 2), (0, 0), (7, 7)])
+def test_organisation_priority_overrides_route_priority(own, expected):
+    known_caller = KnownCaller(CURRENT.version, organisation("ore", priority=own), MINE)
+    assert make_request(make_route(priority=2), caller=known_caller).priority == expected
 
 
 def test_digest_is_equal_for_repeats_by_one_caller_only():
     def digest(name: str, key: bytes, request_id: str = "r1"):
-        whose = KnownCaller(HELD.version, organisation(name), key)
-        return make_request(caller=whose, request_id=request_id).digest()
+        known_caller = KnownCaller(CURRENT.version, organisation(name), key)
+        return make_request(caller=known_caller, request_id=request_id).digest()
 
     assert digest("ore", MINE) == digest("ore", MINE, "r2")
     assert len({digest("ore", MINE), digest("ore", NEW), digest("peat", MINE)}) == 3
