--- a/sparline/routes/_organisations.py
+++ b/sparline/routes/_organisations.py
@@ -68,6 +68,6 @@
 
 def make_organisations(found: Iterable[Organisation]) -> Organisations:
     """Index organisations; the caller has checked that their names and keys are unique."""
-    by_id = {one.id: one for one in found}
-    by_key = {key: one for one in by_id.values() for key in one.keys}
+    by_id = {organisation.id: organisation for organisation in found}
+    by_key = {key: organisation for organisation in by_id.values() for key in organisation.keys}
     return Organisations(by_id, by_key)
--- a/sparline/routes/_types.py
+++ b/sparline/routes/_types.py
@@ -10,8 +10,8 @@
 ServiceName = NewType("ServiceName", str)
 RouteName = NewType("RouteName", str)
 # 1 Mbit/s is 1,000 bits per millisecond.
-KBIT_A_MBIT = 1_000
-BITS_A_BYTE = 8
+KBITS_PER_MBIT = 1_000
+BITS_PER_BYTE = 8
 
 ConfigurationVersion = NewType("ConfigurationVersion", int)
 
@@ -74,7 +74,7 @@
         """Return the time to transfer the cache of a number of tokens between two engines."""
         if not self.link_mbit_per_s:
             return 0.0
-        return tokens * self.token_bytes * BITS_A_BYTE / (self.link_mbit_per_s * KBIT_A_MBIT)
+        return tokens * self.token_bytes * BITS_PER_BYTE / (self.link_mbit_per_s * KBITS_PER_MBIT)
 
 
 @dataclass(frozen=True, slots=True)
@@ -131,5 +131,5 @@
     by_host: dict[str, list[Route]] = {}
     for route in sorted(routes, key=lambda one: -len(one.path_start)):
         by_host.setdefault(route.host, []).append(route)
-    frozen = {host: tuple(found) for host, found in by_host.items()}
-    return Configuration(version, routes, services, limits, frozen, organisations)
+    routes_by_host = {host: tuple(found) for host, found in by_host.items()}
+    return Configuration(version, routes, services, limits, routes_by_host, organisations)
