--- a/sparline/instance/_instance.py
+++ b/sparline/instance/_instance.py
@@ -126,7 +126,7 @@
         )
         self.finder.reachable = self.membership.reachable
         self.relay_sender = RelaySender(self.membership, spare, self.metrics, self.dialer)
-        self.relay_sender.resident_region = lambda rule, region: (
+        self.relay_sender.is_region_allowed = lambda rule, region: (
             region in self.finder.catalog.allowed_regions(rule)
         )
         self.dispatcher = Dispatcher(
--- a/sparline/relay/_sender.py
+++ b/sparline/relay/_sender.py
@@ -53,7 +53,7 @@
         self, membership: Membership, spare: SpareRoom, metrics: Metrics, dialer: Dialer
     ) -> None:
         """Create a sender with no open connections."""
-        self.resident_region: Callable[[str, str], bool] = lambda _rule, _region: False
+        self.is_region_allowed: Callable[[str, str], bool] = lambda _rule, _region: False
         self._membership = membership
         self._spare = spare
         self._metrics = metrics
@@ -64,7 +64,7 @@
         """Relay one request and yield its answer; the last part is the outcome of this attempt."""
         assert request.origin is Origin.CALLER, "a relayed request must not be relayed again"
         assert candidate.instance_id is not None, "the candidate has no instance"
-        assert self.resident_region(request.residency_rule, candidate.region), (
+        assert self.is_region_allowed(request.residency_rule, candidate.region), (
             "the residency rule does not allow this region"
         )
         self._spare.take(candidate.zone, room_key(request))
--- a/sparline/relay/tests/test_sender.py
+++ b/sparline/relay/tests/test_sender.py
@@ -199,7 +199,7 @@
     membership.catalog = Catalog(instances={PEER: member})
     spare = SpareRoom(random.Random(1))
     sender = RelaySender(membership, spare, Metrics(), Dialer("127.0.0.1", 300))
-    sender.resident_region = lambda _rule, _region: True
+    sender.is_region_allowed = lambda _rule, _region: True
     candidate = RemoteCandidate("south", ZoneName("zone-b"), PEER, 1.0, 1.0, 0.0, Verdict.USABLE)
     spare.accepted(candidate.zone, room_key(request))
     return list(sender.send(request, candidate, 0))
