--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -365,7 +365,7 @@
             start=(request.route.name, int(prompt.shared_starts[0].key.split("/")[-1])),
             shared_tokens=prompt.shared_tokens,
             tokens=prompt.tokens,
-            output_tokens=prompt.most_output_tokens,
+            output_tokens=prompt.max_output_tokens,
             priority=request.priority,
             on_event=lambda: after(IN_REGION_MS, seen),
             on_end=lambda: after(IN_REGION_MS, ended),
--- a/sparline/placement/_credit.py
+++ b/sparline/placement/_credit.py
@@ -12,7 +12,7 @@
 
 def credit_of(prompt: Prompt) -> int:
     """Return the credit of a request, in tokens of prompt."""
-    return max(prompt.tokens + OUTPUT_WEIGHT * prompt.most_output_tokens, 1)
+    return max(prompt.tokens + OUTPUT_WEIGHT * prompt.max_output_tokens, 1)
 
 
 class CreditTable:
--- a/sparline/placement/_stream_watch.py
+++ b/sparline/placement/_stream_watch.py
@@ -81,7 +81,7 @@
         prompt = self._request.prompt
         if prompt is not None and self._events:
             took_ms = now_ms() - self._first_at_ms
-            self._tables.pace.note_output(service, prompt.most_output_tokens, took_ms)
+            self._tables.pace.note_output(service, prompt.max_output_tokens, took_ms)
 
     def _stood_still_since(self, at_ms: float) -> bool:
         """Tell whether a time holds a pause of this process, which no engine is to be judged by."""
--- a/sparline/platform/_requests.py
+++ b/sparline/platform/_requests.py
@@ -122,8 +122,8 @@
     if counts is None:
         return Ok(None)
     first, _, second = counts.partition(b",")
-    tokens, most_output_tokens = _whole(first), _whole(second)
-    if tokens is None or most_output_tokens is None:
+    tokens, max_output_tokens = _whole(first), _whole(second)
+    if tokens is None or max_output_tokens is None:
         return Err(f"Token-Counts: expected two whole numbers, found {counts[:40]!r}")
     starts: list[PromptStart] = []
     key = ""
@@ -136,7 +136,7 @@
             return Err(f"Prompt-Prefix: expected ID:TOKENS, found {part[:40]!r}")
         key = f"{key}/{name.decode('latin-1')}"
         starts.append(PromptStart(key, own_tokens))
-    return Ok(Prompt(tokens, most_output_tokens, tuple(starts)))
+    return Ok(Prompt(tokens, max_output_tokens, tuple(starts)))
 
 
 def headers_to_pass(request: HttpRequest, shows_key: bool) -> Headers:
--- a/sparline/requests/_routed.py
+++ b/sparline/requests/_routed.py
@@ -26,7 +26,7 @@
     """Describe the prompt of a request to a model engine."""
 
     tokens: int  # length of the prompt
-    most_output_tokens: int  # limit on the length of the answer
+    max_output_tokens: int  # limit on the length of the answer
     shared_starts: tuple[PromptStart, ...]  # shared prefixes, from the shortest to the longest
 
     @property
@@ -37,7 +37,7 @@
     @property
     def held_tokens(self) -> int:
         """Return the most cache tokens that a run can occupy."""
-        return self.tokens + self.most_output_tokens
+        return self.tokens + self.max_output_tokens
 
 
 @dataclass(frozen=True, slots=True)
