--- a/sparline/routes/_organisations.py
+++ b/sparline/routes/_organisations.py
@@ -29,13 +29,13 @@
     unit: QuotaUnit  # unit that is counted
     per_s: float  # units added each second
     burst: float  # most units that may accumulate
-    plain_cost: float  # units of a request that states no token count
+    default_cost: float  # units of a request that states no token count
 
     def cost(self, tokens: int | None) -> float:
         """Return the units that a request costs, from the token count that it states."""
         if self.unit is QuotaUnit.REQUESTS:
             return 1.0
-        return self.plain_cost if tokens is None else float(tokens)
+        return self.default_cost if tokens is None else float(tokens)
 
 
 @dataclass(frozen=True, slots=True)
