--- a/sparline/platform/_items.py
+++ b/sparline/platform/_items.py
@@ -261,7 +261,7 @@
         max_backends=node.max_attempts,
         resumable=node.allow_resume,
         homes=frozenset(RegionName(one) for one in node.home_regions or ()),
-        is_open=node.allow_anonymous,
+        allows_anonymous=node.allow_anonymous,
     )
 
 
--- a/sparline/requests/_callers.py
+++ b/sparline/requests/_callers.py
@@ -61,7 +61,7 @@
     if known is None:
         return Ok(None)
     if shown.digest is None:
-        if route.is_open and shown.fault is KeyFault.NONE:
+        if route.allows_anonymous and shown.fault is KeyFault.NONE:
             return Ok(None)
         assert shown.fault is not None, "a missing key must have a fault"
         text = f"Authorization: expected Bearer KEY, found {shown.fault.value}"
@@ -83,7 +83,7 @@
     """
     known = configuration.organisations
     if relayed is None:
-        if known is None or route.is_open:
+        if known is None or route.allows_anonymous:
             return Ok(None)
         return Err(Unknown(Reason.NO_KEY, "expected an organisation, found none told"))
     organisation = known.by_id.get(relayed.organisation) if known else None
