--- a/sparline/entry/_app.py
+++ b/sparline/entry/_app.py
@@ -128,7 +128,7 @@
 
     def _earlier(self, marks: Marks, organisation: Organisation) -> AnswerEnd | None:
         elsewhere = self._parts.ledger.check_ticket(marks.ticket) if marks.ticket else None
-        return elsewhere or self._parts.ledger.earlier(
+        return elsewhere or self._parts.ledger.earlier_outcome(
             OrganisationId(organisation.id), marks.request_id
         )
 
--- a/sparline/requests/_ledger.py
+++ b/sparline/requests/_ledger.py
@@ -88,7 +88,9 @@
             return unknown(Reason.TICKET_EXPIRED)
         return None
 
-    def earlier(self, organisation: OrganisationId, request_id: RequestId) -> AnswerEnd | None:
+    def earlier_outcome(
+        self, organisation: OrganisationId, request_id: RequestId
+    ) -> AnswerEnd | None:
         """Return the outcome of an earlier attempt, None if none may have run."""
         entry = self._entries.get((organisation, request_id))
         if entry and entry.state is EntryState.RUNNING:
@@ -99,7 +101,7 @@
 
     def begin(self, organisation: OrganisationId, request_id: RequestId) -> AnswerEnd | None:
         """Record that a request runs; return how to answer it instead if it must not run."""
-        earlier = self.earlier(organisation, request_id)
+        earlier = self.earlier_outcome(organisation, request_id)
         if earlier:
             return earlier
         key = organisation, request_id
--- a/sparline/requests/tests/test_ledger.py
+++ b/sparline/requests/tests/test_ledger.py
@@ -54,7 +54,7 @@
     assert ledger.begin(ORG, ID) is None
     if first:
         ledger.end(ORG, ID, first)
-    assert ledger.earlier(ORG, ID) == second
+    assert ledger.earlier_outcome(ORG, ID) == second
     assert ledger.begin(ORG, ID) == second
     assert ledger.begin(OrganisationId("another"), ID) is None
 
