--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -398,7 +398,7 @@
         shares=(ServiceShare(ENGINES, 1.0),),
         max_backends=2,
         resumable=kind.resumable,
-        homes=frozenset(),
+        allowed_regions=frozenset(),
     )
 
 
--- a/sparline/gateway/_service.py
+++ b/sparline/gateway/_service.py
@@ -304,7 +304,11 @@
 
 def _has_home(route: Route, organisation: Organisation) -> bool:
     """Tell whether any region may run an organisation's requests on a route."""
-    return not route.homes or not organisation.homes or bool(route.homes & organisation.homes)
+    return (
+        not route.allowed_regions
+        or not organisation.allowed_regions
+        or bool(route.allowed_regions & organisation.allowed_regions)
+    )
 
 
 def choose_service(route: Route, request_id: RequestId) -> ServiceName:
--- a/sparline/placement/tests/test_choice.py
+++ b/sparline/placement/tests/test_choice.py
@@ -115,7 +115,7 @@
     return told
 
 
-SOUTH_ONLY = make_route(homes=frozenset((SOUTH,)))
+SOUTH_ONLY = make_route(allowed_regions=frozenset((SOUTH,)))
 RELAYED = {"origin": Origin.RELAY}
 # An engine whose queue makes a request later than its wanted 800 ms.
 LATE = LoadOf(3, 60_000, 41_000)
--- a/sparline/platform/_items.py
+++ b/sparline/platform/_items.py
@@ -241,7 +241,7 @@
         id=OrganisationId(node.name),
         keys=frozenset(digest_of_key(key.encode()) for key in node.api_keys),
         priority=node.priority,
-        homes=frozenset(RegionName(one) for one in node.home_regions or ()),
+        allowed_regions=frozenset(RegionName(one) for one in node.home_regions or ()),
         quota=Quota(unit, node.per_s, node.burst, node.uncached_tokens) if node.per_s else None,
     )
 
@@ -260,7 +260,7 @@
         shares=tuple(ServiceShare(ServiceName(one.service), one.weight) for one in split),
         max_backends=node.max_attempts,
         resumable=node.allow_resume,
-        homes=frozenset(RegionName(one) for one in node.home_regions or ()),
+        allowed_regions=frozenset(RegionName(one) for one in node.home_regions or ()),
         allows_anonymous=node.allow_anonymous,
     )
 
--- a/sparline/platform/tests/test_items.py
+++ b/sparline/platform/tests/test_items.py
@@ -120,11 +120,11 @@
     read = item("op/config", with_tenants(TENANT, {"name": "bare", "api_keys": ["k3"], "per_s": 0}))
     found = read.configuration.organisations
     one = found.by_id["huka"]
-    assert (one.priority, one.homes) == (1, {"north"})
+    assert (one.priority, one.allowed_regions) == (1, {"north"})
     assert one.quota == Quota(QuotaUnit.TOKENS, 5000.0, 7000.0, 200.0)
     assert found.by_key[digest_of_key(b"k2")] is one
     bare = found.by_id["bare"]
-    assert (bare.priority, bare.homes, bare.quota) == (None, set(), None)
+    assert (bare.priority, bare.allowed_regions, bare.quota) == (None, set(), None)
 
 
 def test_a_configuration_without_organisations_asks_for_no_keys():
--- a/sparline/requests/tests/test_callers.py
+++ b/sparline/requests/tests/test_callers.py
@@ -29,7 +29,7 @@
 
 
 def organisation(name: str = "ore", *keys: bytes, **changes: object) -> Organisation:
-    values = {"priority": None, "homes": frozenset(), "quota": None}
+    values = {"priority": None, "allowed_regions": frozenset(), "quota": None}
     return Organisation(OrganisationId(name), frozenset(keys), **(values | changes))
 
 
@@ -149,9 +149,9 @@
 @pytest.mark.parametrize(("of_route", "of_organisation", "allowed"), HOMES)
 def test_region_must_be_allowed_by_route_and_organisation(of_route, of_organisation, allowed):
     known_caller = KnownCaller(
-        CURRENT.version, organisation("ore", homes=frozenset(of_organisation)), MINE
+        CURRENT.version, organisation("ore", allowed_regions=frozenset(of_organisation)), MINE
     )
-    request = make_request(make_route(homes=frozenset(of_route)), caller=known_caller)
+    request = make_request(make_route(allowed_regions=frozenset(of_route)), caller=known_caller)
     assert {region for region in (NORTH, SOUTH, WEST) if request.allows(region)} == allowed
 
 
--- a/sparline/routes/_organisations.py
+++ b/sparline/routes/_organisations.py
@@ -45,12 +45,12 @@
     id: OrganisationId  # name given by the operators
     keys: frozenset[KeyDigest]  # digests of the keys that its callers present
     priority: int | None  # 0 is the most urgent, None where the route decides
-    homes: frozenset[RegionName]  # regions that may run its requests, empty for all
+    allowed_regions: frozenset[RegionName]  # regions that may run its requests, empty for all
     quota: Quota | None  # None for no limit
 
     def allows(self, region: RegionName) -> bool:
         """Tell whether its requests may run in a region."""
-        return not self.homes or region in self.homes
+        return not self.allowed_regions or region in self.allowed_regions
 
 
 @dataclass(frozen=True, slots=True)
--- a/sparline/routes/_types.py
+++ b/sparline/routes/_types.py
@@ -47,12 +47,12 @@
     shares: tuple[ServiceShare, ...]  # services that handle the requests
     max_backends: int  # most backend servers on which one request may run
     resumable: bool  # whether a stream may resume on another backend server
-    homes: frozenset[RegionName]  # regions that may run it, empty for all
+    allowed_regions: frozenset[RegionName]  # regions that may run it, empty for all
     allows_anonymous: bool = False  # whether callers need no key
 
     def allows(self, region: RegionName) -> bool:
         """Tell whether requests may run in a region."""
-        return not self.homes or region in self.homes
+        return not self.allowed_regions or region in self.allowed_regions
 
     @property
     def repeatable(self) -> bool:
--- a/sparline/tests/routed.py
+++ b/sparline/tests/routed.py
@@ -41,7 +41,7 @@
         "shares": (ServiceShare(ENGINES, 1.0),),
         "max_backends": 2,
         "resumable": True,
-        "homes": frozenset(),
+        "allowed_regions": frozenset(),
     }
     return Route(**(values | changes))
 
