--- a/sparline/gateway/_service.py
+++ b/sparline/gateway/_service.py
@@ -39,7 +39,7 @@
     RoutedRequest,
     Unknown,
     find_caller,
-    find_relayed,
+    find_relayed_caller,
 )
 from sparline.routes import DEFAULT_LIMITS, Configuration, Organisation, Route, ServiceName
 
@@ -220,7 +220,7 @@
         self, configuration: Configuration, route: Route, marks: RequestMarks, origin: Origin
     ) -> Result[KnownCaller | None, Unknown]:
         if origin is Origin.RELAY:
-            return find_relayed(configuration, route, marks.relay_caller)
+            return find_relayed_caller(configuration, route, marks.relay_caller)
         return find_caller(configuration, route, marks.key)
 
     def _turn_away(
--- a/sparline/requests/_callers.py
+++ b/sparline/requests/_callers.py
@@ -73,7 +73,7 @@
     return Ok(KnownCaller(configuration.version, organisation, shown.digest))
 
 
-def find_relayed(
+def find_relayed_caller(
     configuration: Configuration, route: Route, relayed: RelayedCaller | None
 ) -> CallerResult:
     """Return the caller of a request that another instance relays.
--- a/sparline/requests/tests/test_callers.py
+++ b/sparline/requests/tests/test_callers.py
@@ -10,7 +10,7 @@
     RelayedCaller,
     ShownKey,
     find_caller,
-    find_relayed,
+    find_relayed_caller,
     is_withdrawn,
 )
 from sparline.routes import (
@@ -106,13 +106,13 @@
 )
 def test_instance_with_the_newer_configuration_decides(configuration, sender_version, key, runs):
     relayed = RelayedCaller(ConfigurationVersion(sender_version), ORE, key)
-    assert find_relayed(configuration, CLOSED, relayed).is_ok() is runs
+    assert find_relayed_caller(configuration, CLOSED, relayed).is_ok() is runs
 
 
 @pytest.mark.parametrize(("route", "runs"), [(OPEN, True), (CLOSED, False)])
 def test_relayed_request_without_organisation_runs_only_on_open_routes(route, runs):
-    assert find_relayed(CURRENT, route, None).is_ok() is runs
-    assert find_relayed(make_rules(version=5), route, None).is_ok()
+    assert find_relayed_caller(CURRENT, route, None).is_ok() is runs
+    assert find_relayed_caller(make_rules(version=5), route, None).is_ok()
 
 
 WITHDRAWN = [
