--- a/sparline/platform/_requests.py
+++ b/sparline/platform/_requests.py
@@ -13,11 +13,11 @@
 from sparline.requests import (
     KeyFault,
     KnownCaller,
+    PresentedKey,
     Prompt,
     PromptStart,
     RelayedCaller,
     RoutedRequest,
-    ShownKey,
 )
 from sparline.routes import ConfigurationVersion, KeyDigest, digest_of_key
 
@@ -42,7 +42,7 @@
     prompt: Prompt | None  # for model engines
     resume_after: int | None  # last event that the caller has
     relay_service: str  # service chosen by the first instance, empty from callers
-    key: ShownKey  # key that a caller shows
+    key: PresentedKey  # key that a caller shows
     relay_caller: RelayedCaller | None  # whose key the first instance was shown, None from callers
 
 
@@ -79,18 +79,18 @@
     )
 
 
-def _shown_key(request: HttpRequest) -> ShownKey:
+def _shown_key(request: HttpRequest) -> PresentedKey:
     """Return the digest of the one key that is shown; two of them are none."""
     shown = [value for name, value in request.headers if name == names.AUTHORIZATION]
     if not shown:
-        return ShownKey(None, KeyFault.NONE)
+        return PresentedKey(None, KeyFault.NONE)
     if len(shown) > 1:
-        return ShownKey(None, KeyFault.SEVERAL)
+        return PresentedKey(None, KeyFault.SEVERAL)
     scheme, _, key = shown[0].strip().partition(b" ")
     key = key.strip()
     if scheme.lower() != BEARER or not key or b" " in key:
-        return ShownKey(None, KeyFault.SCHEME)
-    return ShownKey(digest_of_key(key))
+        return PresentedKey(None, KeyFault.SCHEME)
+    return PresentedKey(digest_of_key(key))
 
 
 def _relay_caller(request: HttpRequest) -> Result[RelayedCaller | None, str]:
--- a/sparline/platform/tests/test_requests.py
+++ b/sparline/platform/tests/test_requests.py
@@ -13,10 +13,10 @@
 from sparline.requests import (
     KeyFault,
     KnownCaller,
+    PresentedKey,
     Prompt,
     PromptStart,
     RelayedCaller,
-    ShownKey,
 )
 from sparline.routes import Organisation, digest_of_key
 from sparline.tests.routed import make_request, make_route
@@ -74,14 +74,14 @@
 
 
 KEYS = [
-    ("a key", [("authorization", "Bearer k1")], ShownKey(digest_of_key(b"k1"))),
-    ("the scheme in another case", [("authorization", "bEARER  k1 ")], ShownKey(digest_of_key(b"k1"))),
-    ("none", [], ShownKey(None, KeyFault.NONE)),
-    ("empty", [("authorization", "")], ShownKey(None, KeyFault.SCHEME)),
-    ("no key behind the scheme", [("authorization", "Bearer ")], ShownKey(None, KeyFault.SCHEME)),
-    ("another scheme", [("authorization", "Basic azE=")], ShownKey(None, KeyFault.SCHEME)),
-    ("two words", [("authorization", "Bearer k1 k2")], ShownKey(None, KeyFault.SCHEME)),
-    ("two keys", [("authorization", "Bearer k1"), ("authorization", "Bearer k1")], ShownKey(None, KeyFault.SEVERAL)),
+    ("a key", [("authorization", "Bearer k1")], PresentedKey(digest_of_key(b"k1"))),
+    ("the scheme in another case", [("authorization", "bEARER  k1 ")], PresentedKey(digest_of_key(b"k1"))),
+    ("none", [], PresentedKey(None, KeyFault.NONE)),
+    ("empty", [("authorization", "")], PresentedKey(None, KeyFault.SCHEME)),
+    ("no key behind the scheme", [("authorization", "Bearer ")], PresentedKey(None, KeyFault.SCHEME)),
+    ("another scheme", [("authorization", "Basic azE=")], PresentedKey(None, KeyFault.SCHEME)),
+    ("two words", [("authorization", "Bearer k1 k2")], PresentedKey(None, KeyFault.SCHEME)),
+    ("two keys", [("authorization", "Bearer k1"), ("authorization", "Bearer k1")], PresentedKey(None, KeyFault.SEVERAL)),
 ]  # fmt: skip
 
 
--- a/sparline/requests/_callers.py
+++ b/sparline/requests/_callers.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ShownKey:
+class PresentedKey:
     """Hold the key that a caller presents, or why there is none."""
 
     digest: KeyDigest | None  # digest of the key, None if none could be read
@@ -55,7 +55,7 @@
 CallerResult = Result[KnownCaller | None, Unknown]
 
 
-def find_caller(configuration: Configuration, route: Route, shown: ShownKey) -> CallerResult:
+def find_caller(configuration: Configuration, route: Route, shown: PresentedKey) -> CallerResult:
     """Return the caller of a request, None where no key is required."""
     known = configuration.organisations
     if known is None:
--- a/sparline/requests/tests/test_callers.py
+++ b/sparline/requests/tests/test_callers.py
@@ -6,9 +6,9 @@
 from sparline.requests import (
     KeyFault,
     KnownCaller,
+    PresentedKey,
     Reason,
     RelayedCaller,
-    ShownKey,
     find_caller,
     find_relayed_caller,
     is_withdrawn,
@@ -43,16 +43,16 @@
 
 PRESENTED = [
     # name, presented key, route, expected organisation, expected refusal
-    ("a key", ShownKey(MINE), CLOSED, "ore", None),
-    ("a key of another organisation", ShownKey(OTHERS), CLOSED, "peat", None),
-    ("a key on an open route", ShownKey(MINE), OPEN, "ore", None),
-    ("no key on an open route", ShownKey(None, KeyFault.NONE), OPEN, None, None),
-    ("no key", ShownKey(None, KeyFault.NONE), CLOSED, None, Reason.NO_KEY),
-    ("two keys", ShownKey(None, KeyFault.SEVERAL), CLOSED, None, Reason.NO_KEY),
-    ("two keys on an open route", ShownKey(None, KeyFault.SEVERAL), OPEN, None, Reason.NO_KEY),
-    ("another scheme", ShownKey(None, KeyFault.SCHEME), OPEN, None, Reason.NO_KEY),
-    ("an unknown key", ShownKey(NEW), CLOSED, None, Reason.UNKNOWN_KEY),
-    ("an unknown key on an open route", ShownKey(NEW), OPEN, None, Reason.UNKNOWN_KEY),
+    ("a key", PresentedKey(MINE), CLOSED, "ore", None),
+    ("a key of another organisation", PresentedKey(OTHERS), CLOSED, "peat", None),
+    ("a key on an open route", PresentedKey(MINE), OPEN, "ore", None),
+    ("no key on an open route", PresentedKey(None, KeyFault.NONE), OPEN, None, None),
+    ("no key", PresentedKey(None, KeyFault.NONE), CLOSED, None, Reason.NO_KEY),
+    ("two keys", PresentedKey(None, KeyFault.SEVERAL), CLOSED, None, Reason.NO_KEY),
+    ("two keys on an open route", PresentedKey(None, KeyFault.SEVERAL), OPEN, None, Reason.NO_KEY),
+    ("another scheme", PresentedKey(None, KeyFault.SCHEME), OPEN, None, Reason.NO_KEY),
+    ("an unknown key", PresentedKey(NEW), CLOSED, None, Reason.UNKNOWN_KEY),
+    ("an unknown key on an open route", PresentedKey(NEW), OPEN, None, Reason.UNKNOWN_KEY),
 ]
 
 
@@ -72,13 +72,13 @@
 
 def test_no_key_is_required_without_configured_organisations():
     without = make_rules(version=5)
-    assert find_caller(without, CLOSED, ShownKey(None, KeyFault.NONE)).unwrap() is None
-    assert find_caller(without, CLOSED, ShownKey(NEW)).unwrap() is None
+    assert find_caller(without, CLOSED, PresentedKey(None, KeyFault.NONE)).unwrap() is None
+    assert find_caller(without, CLOSED, PresentedKey(NEW)).unwrap() is None
 
 
 def test_keys_are_still_required_after_the_last_organisation_is_removed():
     nobody = version(6)
-    assert find_caller(nobody, CLOSED, ShownKey(MINE)).is_err()
+    assert find_caller(nobody, CLOSED, PresentedKey(MINE)).is_err()
 
 
 # The older version does not have the new key yet; the newer one no longer has the withdrawn key.
