--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -58,7 +58,7 @@
 )
 from sparline.quarantine import CrashTable
 from sparline.quotas import NO_ROOM, Allowance
-from sparline.requests import Origin, Prompt, PromptStart, RoutedRequest
+from sparline.requests import Origin, Prompt, PromptPrefix, RoutedRequest
 from sparline.routes import (
     DEFAULT_LIMITS,
     ConfigurationVersion,
@@ -404,7 +404,7 @@
 
 def _request(arrival: Arrival, left_ms: float, origin: Origin) -> RoutedRequest:
     kind = arrival.kind
-    start = PromptStart(f"{kind.name}/{arrival.start}", kind.shared_tokens)
+    start = PromptPrefix(f"{kind.name}/{arrival.start}", kind.shared_tokens)
     return RoutedRequest(
         request_id=RequestId(f"r{id(arrival)}"),
         route=_route(kind),
--- a/sparline/placement/tests/test_choice.py
+++ b/sparline/placement/tests/test_choice.py
@@ -26,7 +26,7 @@
     _prompt_cache,
     owner_of,
 )
-from sparline.requests import Origin, Prompt, PromptStart
+from sparline.requests import Origin, Prompt, PromptPrefix
 from sparline.routes import EngineFigures, RequestKind, ServiceShare
 from sparline.schema._gossip import MemberNote, MemberPhase, PromptReadNote
 from sparline.tests.routed import ENGINES, PLAIN, make_request, make_route, make_rules, make_server
@@ -36,7 +36,7 @@
 ZONES = {ZoneName("north-1"): NORTH, ZoneName("south-1"): SOUTH}
 N1, N2, N3 = make_server("n1"), make_server("n2"), make_server("n3")
 S1 = make_server("s1", "south")
-LONG = Prompt(17_000, 120, (PromptStart("/long", 13_000),))
+LONG = Prompt(17_000, 120, (PromptPrefix("/long", 13_000),))
 VERY_LONG = Prompt(45_000, 300, ())
 SHORT = Prompt(400, 50, ())
 BUSY = LoadOf(running=6, held_tokens=60_000, unread_tokens=40_000)
@@ -305,7 +305,7 @@
 
 def test_all_instances_agree_on_the_owner_of_a_start():
     engines = [BackendServerId(f"e{number}") for number in range(6)]
-    prompts = [Prompt(9_000, 1, (PromptStart(f"/{number}", 8_000),)) for number in range(300)]
+    prompts = [Prompt(9_000, 1, (PromptPrefix(f"/{number}", 8_000),)) for number in range(300)]
     owners = [owner_of(prompt, engines) for prompt in prompts]
     assert owners == [owner_of(prompt, engines[::-1]) for prompt in prompts]
     assert all(20 < owners.count(engine) < 90 for engine in engines)
@@ -336,7 +336,7 @@
 
 def test_the_oldest_starts_give_way():
     cache = PromptCache(owners_have_read=False)
-    prompts = [Prompt(3_000, 1, (PromptStart(f"/{number}", 2_000),)) for number in range(10)]
+    prompts = [Prompt(3_000, 1, (PromptPrefix(f"/{number}", 2_000),)) for number in range(10)]
     for prompt in prompts:
         cache.note(prompt, N1.id, 20_000)
     assert [cache.cached_tokens(one, N1.id) for one in prompts] == [0] * 5 + [2_000] * 5
@@ -352,13 +352,13 @@
 
 def test_a_start_that_is_read_fills_the_memory_and_one_that_is_kept_does_not():
     cache = PromptCache(owners_have_read=False)
-    other = Prompt(8_000, 0, (PromptStart("/other", 7_000),))
+    other = Prompt(8_000, 0, (PromptPrefix("/other", 7_000),))
     cache.note(LONG, N1.id, 40_000)
     cache.note(other, N1.id, 40_000)
     for _ in range(11):
         cache.note(other, N1.id, 40_000)
     assert cache.cached_tokens(LONG, N1.id) == 13_000
-    cache.note(Prompt(8_000, 0, (PromptStart("/third", 7_000),)), N1.id, 40_000)
+    cache.note(Prompt(8_000, 0, (PromptPrefix("/third", 7_000),)), N1.id, 40_000)
     assert cache.cached_tokens(LONG, N1.id) == 0
 
 
--- a/sparline/placement/tests/test_shortlist.py
+++ b/sparline/placement/tests/test_shortlist.py
@@ -6,7 +6,7 @@
 
 from sparline._ids import RegionName
 from sparline.placement._shortlist import MOST_FAR, MOST_NEAR, MOST_WHOLE, Shortlist
-from sparline.requests import Prompt, PromptStart
+from sparline.requests import Prompt, PromptPrefix
 from sparline.tests.routed import make_request, make_server
 
 NORTH = RegionName("north")
@@ -22,7 +22,7 @@
 
 
 def asks(start: str | None):
-    starts = (PromptStart(start, 9_000),) if start else ()
+    starts = (PromptPrefix(start, 9_000),) if start else ()
     return make_request(prompt=Prompt(9_400, 50, starts))
 
 
--- a/sparline/platform/_requests.py
+++ b/sparline/platform/_requests.py
@@ -15,7 +15,7 @@
     KnownCaller,
     PresentedKey,
     Prompt,
-    PromptStart,
+    PromptPrefix,
     RelayedCaller,
     RoutedRequest,
 )
@@ -125,7 +125,7 @@
     tokens, max_output_tokens = _whole(first), _whole(second)
     if tokens is None or max_output_tokens is None:
         return Err(f"Token-Counts: expected two whole numbers, found {counts[:40]!r}")
-    starts: list[PromptStart] = []
+    starts: list[PromptPrefix] = []
     key = ""
     parts = [part for part in (request.header(names.PROMPT_PARTS) or b"").split(b",") if part]
     # The last part is the request's own, or its session's.
@@ -135,7 +135,7 @@
         if own_tokens is None:
             return Err(f"Prompt-Prefix: expected ID:TOKENS, found {part[:40]!r}")
         key = f"{key}/{name.decode('latin-1')}"
-        starts.append(PromptStart(key, own_tokens))
+        starts.append(PromptPrefix(key, own_tokens))
     return Ok(Prompt(tokens, max_output_tokens, tuple(starts)))
 
 
--- a/sparline/platform/tests/test_requests.py
+++ b/sparline/platform/tests/test_requests.py
@@ -15,7 +15,7 @@
     KnownCaller,
     PresentedKey,
     Prompt,
-    PromptStart,
+    PromptPrefix,
     RelayedCaller,
 )
 from sparline.routes import Organisation, digest_of_key
@@ -41,9 +41,9 @@
         "the last part is the request's own",
         {"token_counts": "1460,80", "prompt_prefix": PARTS},
         "prompt",
-        Prompt(1460, 80, (PromptStart("/5c1e", 800), PromptStart("/5c1e/91bd", 410))),
+        Prompt(1460, 80, (PromptPrefix("/5c1e", 800), PromptPrefix("/5c1e/91bd", 410))),
     ),
-    ("blanks between parts", {"token_counts": "9, 8", "prompt_prefix": "a:1 , b:2"}, "prompt", Prompt(9, 8, (PromptStart("/a", 1),))),
+    ("blanks between parts", {"token_counts": "9, 8", "prompt_prefix": "a:1 , b:2"}, "prompt", Prompt(9, 8, (PromptPrefix("/a", 1),))),
     ("last event", {"last_event_id": "7"}, "resume_after", 7),
     ("last event that is none", {"last_event_id": "x"}, "resume_after", None),
 ]  # fmt: skip
--- a/sparline/requests/__init__.py
+++ b/sparline/requests/__init__.py
@@ -13,7 +13,7 @@
 )
 from sparline.requests._ledger import RequestLedger, Ticket, make_ticket, parse_ticket
 from sparline.requests._reasons import Reason
-from sparline.requests._routed import Prompt, PromptStart, RoutedRequest
+from sparline.requests._routed import Prompt, PromptPrefix, RoutedRequest
 from sparline.requests._types import (
     COMPLETE,
     Answer,
@@ -45,7 +45,7 @@
     "Outcome",
     "PresentedKey",
     "Prompt",
-    "PromptStart",
+    "PromptPrefix",
     "Reason",
     "RelayedCaller",
     "Request",
--- a/sparline/requests/_routed.py
+++ b/sparline/requests/_routed.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PromptStart:
+class PromptPrefix:
     """Identify a prompt prefix that other prompts share."""
 
     key: str  # identifies the whole prefix up to and including its last part
@@ -27,7 +27,7 @@
 
     tokens: int  # length of the prompt
     max_output_tokens: int  # limit on the length of the answer
-    shared_starts: tuple[PromptStart, ...]  # shared prefixes, from the shortest to the longest
+    shared_starts: tuple[PromptPrefix, ...]  # shared prefixes, from the shortest to the longest
 
     @property
     def shared_tokens(self) -> int:
