--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -362,7 +362,7 @@
 
         after = self._world.time.after
         job = Job(
-            start=(request.route.name, int(prompt.shared_starts[0].key.split("/")[-1])),
+            start=(request.route.name, int(prompt.shared_prefixes[0].key.split("/")[-1])),
             shared_tokens=prompt.shared_tokens,
             tokens=prompt.tokens,
             output_tokens=prompt.max_output_tokens,
--- a/sparline/gateway/_request_log.py
+++ b/sparline/gateway/_request_log.py
@@ -168,7 +168,9 @@
         "prompt_tokens": prompt.tokens,
         "shared_tokens": prompt.shared_tokens,
         # Equal for prompts that share their longest start; the parts' names are the callers'.
-        "start": f"{hash64(prompt.shared_starts[-1].key):016x}" if prompt.shared_starts else None,
+        "start": f"{hash64(prompt.shared_prefixes[-1].key):016x}"
+        if prompt.shared_prefixes
+        else None,
     }
 
 
--- a/sparline/placement/_kept_prompt.py
+++ b/sparline/placement/_kept_prompt.py
@@ -53,7 +53,7 @@
         tokens[owner] = prompt.shared_tokens
     sources: dict[RegionName, BackendServer] = {}
     for server in sound:
-        if not prompt.shared_starts or not cache.can_pass_on(prompt, server.id):
+        if not prompt.shared_prefixes or not cache.can_pass_on(prompt, server.id):
             continue
         held = sources.get(server.region)
         if held is None or tokens[server.id] > tokens[held.id]:
--- a/sparline/placement/_prompt_cache.py
+++ b/sparline/placement/_prompt_cache.py
@@ -70,7 +70,7 @@
         self._memory[server_id] = cache_tokens
         kept = self._kept.setdefault(server_id, OrderedDict())
         total = self._tokens.get(server_id, 0)
-        for start in prompt.shared_starts:
+        for start in prompt.shared_prefixes:
             if start.key not in kept:
                 total += start.own_tokens
             kept[start.key] = start.own_tokens
@@ -126,7 +126,7 @@
         found = 0
         if kept is None:
             return 0
-        for start in prompt.shared_starts:
+        for start in prompt.shared_prefixes:
             if start.key not in kept:
                 break
             found += start.own_tokens
@@ -167,12 +167,12 @@
 
 def _hash(prompt: Prompt) -> int:
     # Half of the hash, so that it stays a number that every codec carries.
-    return hash64(prompt.shared_starts[-1].key) >> 1
+    return hash64(prompt.shared_prefixes[-1].key) >> 1
 
 
 def owner_of(prompt: Prompt, engines: list[BackendServerId]) -> BackendServerId | None:
     """Return the engine that all instances agree on for a prompt's start."""
-    if not prompt.shared_starts or not engines:
+    if not prompt.shared_prefixes or not engines:
         return None
-    key = prompt.shared_starts[-1].key
+    key = prompt.shared_prefixes[-1].key
     return max(engines, key=lambda one: hash64(f"{key}/{one}"))
--- a/sparline/placement/_shortlist.py
+++ b/sparline/placement/_shortlist.py
@@ -68,7 +68,7 @@
 
     def _point(self, request: RoutedRequest) -> int:
         """Return what decides on the slices: the longest start that others share, else chance."""
-        starts = request.prompt.shared_starts if request.prompt else ()
+        starts = request.prompt.shared_prefixes if request.prompt else ()
         return hash64(starts[-1].key) if starts else self._chance.getrandbits(64)
 
 
--- a/sparline/requests/_routed.py
+++ b/sparline/requests/_routed.py
@@ -27,12 +27,12 @@
 
     tokens: int  # length of the prompt
     max_output_tokens: int  # limit on the length of the answer
-    shared_starts: tuple[PromptPrefix, ...]  # shared prefixes, from the shortest to the longest
+    shared_prefixes: tuple[PromptPrefix, ...]  # shared prefixes, from the shortest to the longest
 
     @property
     def shared_tokens(self) -> int:
         """Return the length of the longest shared prefix in tokens."""
-        return sum(start.own_tokens for start in self.shared_starts)
+        return sum(start.own_tokens for start in self.shared_prefixes)
 
     @property
     def held_tokens(self) -> int:
