--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -62,7 +62,7 @@
 from sparline.routes import (
     DEFAULT_LIMITS,
     ConfigurationVersion,
-    EngineFigures,
+    EngineSpec,
     RequestKind,
     Route,
     RouteName,
@@ -424,7 +424,7 @@
     zones = {ZoneName(f"{one}-1"): RegionName(one) for one in world.draw.regions}
     fleet = FleetState(lambda _change: UnknownItem(), lambda: None, lambda: 1e9, zones)
     service = Service(
-        ENGINES, 0.0, 0.0, EngineFigures(world.draw.engine.slots, world.draw.engine.memory_tokens)
+        ENGINES, 0.0, 0.0, EngineSpec(world.draw.engine.slots, world.draw.engine.memory_tokens)
     )
     routes = [_route(kind) for kind in world.draw.kinds]
     fleet.configuration = make_configuration(
--- a/sparline/placement/_place_judge.py
+++ b/sparline/placement/_place_judge.py
@@ -18,7 +18,7 @@
 from sparline.placement._placement import Doubt, Placement
 from sparline.placement._prompt_cache import PromptCache
 from sparline.requests import RoutedRequest
-from sparline.routes import EngineFigures, Service
+from sparline.routes import EngineSpec, Service
 
 # What operators would rather not pay, as parts of the credit of a token of prompt: for a token
 # that is read again though an engine keeps it, and for each MB of memory that an engine passes on.
@@ -236,7 +236,7 @@
     def _prompt_loss(
         self,
         request: RoutedRequest,
-        engine: EngineFigures,
+        engine: EngineSpec,
         load: LoadOf,
         work: _Work,
         pace: EnginePace,
--- a/sparline/placement/tests/test_choice.py
+++ b/sparline/placement/tests/test_choice.py
@@ -27,7 +27,7 @@
     owner_of,
 )
 from sparline.requests import Origin, Prompt, PromptPrefix
-from sparline.routes import EngineFigures, RequestKind, ServiceShare
+from sparline.routes import EngineSpec, RequestKind, ServiceShare
 from sparline.schema._gossip import MemberNote, MemberPhase, PromptReadNote
 from sparline.tests.routed import ENGINES, PLAIN, make_request, make_route, make_rules, make_server
 
@@ -237,7 +237,7 @@
     assert world.choose(request, *excluded) in (chosen if isinstance(chosen, tuple) else (chosen,))
 
 
-FETCHING = EngineFigures(64, 300_000, token_bytes=163_840, link_mbit_per_s=550_000.0, fetches=True)
+FETCHING = EngineSpec(64, 300_000, token_bytes=163_840, link_mbit_per_s=550_000.0, fetches=True)
 FETCHES = [
     # name, engines, kept at, for so long (ms), loads, (server, source, tokens to read)
     ("from a loaded one", (N1, N2), N1, 700.0, {"n1": BUSY}, ("n2", "n1", 4_000)),
--- a/sparline/platform/_items.py
+++ b/sparline/platform/_items.py
@@ -22,7 +22,7 @@
 from sparline.routes import (
     CallerLimits,
     ConfigurationVersion,
-    EngineFigures,
+    EngineSpec,
     KeyDigest,
     Organisation,
     Organisations,
@@ -274,8 +274,8 @@
     )
 
 
-def _engine(node: _EngineNode) -> EngineFigures:
-    return EngineFigures(
+def _engine(node: _EngineNode) -> EngineSpec:
+    return EngineSpec(
         slots=node.slots,
         cache_tokens=node.kv_cache_tokens,
         token_bytes=node.kv_token_bytes,
--- a/sparline/platform/tests/test_items.py
+++ b/sparline/platform/tests/test_items.py
@@ -17,7 +17,7 @@
 )
 from sparline.platform import ItemReader
 from sparline.platform._incarnations import listed_id
-from sparline.routes import EngineFigures, Quota, QuotaUnit, ServiceName, digest_of_key
+from sparline.routes import EngineSpec, Quota, QuotaUnit, ServiceName, digest_of_key
 from standins import configuration
 
 READ = ItemReader({ZoneName("north-1"): RegionName("north")})
@@ -174,7 +174,7 @@
 def test_an_engines_figures_are_read():
     found = item("op/config", configuration(3))
     engine = found.configuration.services[ServiceName("engines")].engine
-    assert engine == EngineFigures(8, 300_000, 163_840, 550_000.0, True)
+    assert engine == EngineSpec(8, 300_000, 163_840, 550_000.0, True)
     # 163,840 bytes a token over 550 Gbit/s: 2.4 microseconds a token.
     assert round(engine.fetch_ms(13_000), 1) == 31.0
 
--- a/sparline/routes/_types.py
+++ b/sparline/routes/_types.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineFigures:
+class EngineSpec:
     """Hold what is declared of a model engine."""
 
     slots: int  # requests that run concurrently
@@ -84,7 +84,7 @@
     name: ServiceName  # name given by the operators
     cold_start_ms: float  # how long a new backend server stays cold
     cold_requests_per_s: float  # most requests per second to a cold backend server, 0 for no limit
-    engine: EngineFigures | None  # only for model engines
+    engine: EngineSpec | None  # only for model engines
 
 
 @dataclass(frozen=True, slots=True)
--- a/sparline/tests/routed.py
+++ b/sparline/tests/routed.py
@@ -10,7 +10,7 @@
     DEFAULT_LIMITS,
     Configuration,
     ConfigurationVersion,
-    EngineFigures,
+    EngineSpec,
     Organisations,
     RequestKind,
     Route,
@@ -84,7 +84,7 @@
 def make_services(cold_per_s: float = 10.0) -> dict[ServiceName, Service]:
     """Return an engine service and a plain one."""
     return {
-        ENGINES: Service(ENGINES, 3_000.0, cold_per_s, EngineFigures(64, 300_000)),
+        ENGINES: Service(ENGINES, 3_000.0, cold_per_s, EngineSpec(64, 300_000)),
         PLAIN: Service(PLAIN, 0.0, 0.0, None),
     }
 
