--- a/sparline/gateway/_service.py
+++ b/sparline/gateway/_service.py
@@ -37,7 +37,7 @@
     Origin,
     Reason,
     RoutedRequest,
-    Unknown,
+    UnknownCaller,
     find_caller,
     find_relayed_caller,
 )
@@ -218,13 +218,13 @@
 
     def _whose(
         self, configuration: Configuration, route: Route, marks: RequestMarks, origin: Origin
-    ) -> Result[KnownCaller | None, Unknown]:
+    ) -> Result[KnownCaller | None, UnknownCaller]:
         if origin is Origin.RELAY:
             return find_relayed_caller(configuration, route, marks.relay_caller)
         return find_caller(configuration, route, marks.key)
 
     def _turn_away(
-        self, caller: CallerConnection, marks: RequestMarks, origin: Origin, why: Unknown
+        self, caller: CallerConnection, marks: RequestMarks, origin: Origin, why: UnknownCaller
     ) -> None:
         """Answer a request for which no organisation stands.
 
--- a/sparline/requests/_callers.py
+++ b/sparline/requests/_callers.py
@@ -45,14 +45,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unknown:
+class UnknownCaller:
     """Say why the caller of a request could not be authenticated."""
 
     reason: Reason  # label of the counters
     text: str  # what was expected and found
 
 
-CallerResult = Result[KnownCaller | None, Unknown]
+CallerResult = Result[KnownCaller | None, UnknownCaller]
 
 
 def find_caller(configuration: Configuration, route: Route, shown: PresentedKey) -> CallerResult:
@@ -65,11 +65,11 @@
             return Ok(None)
         assert shown.fault is not None, "a missing key must have a fault"
         text = f"Authorization: expected Bearer KEY, found {shown.fault.value}"
-        return Err(Unknown(Reason.NO_KEY, text))
+        return Err(UnknownCaller(Reason.NO_KEY, text))
     organisation = known.by_key.get(shown.digest)
     if organisation is None:
         text = "Authorization: expected a key in force, found one that is not"
-        return Err(Unknown(Reason.UNKNOWN_KEY, text))
+        return Err(UnknownCaller(Reason.UNKNOWN_KEY, text))
     return Ok(KnownCaller(configuration.version, organisation, shown.digest))
 
 
@@ -85,12 +85,16 @@
     if relayed is None:
         if known is None or route.allows_anonymous:
             return Ok(None)
-        return Err(Unknown(Reason.NO_KEY, "expected an organisation, found none told"))
+        return Err(UnknownCaller(Reason.NO_KEY, "expected an organisation, found none told"))
     organisation = known.by_id.get(relayed.organisation) if known else None
     if organisation is None:
-        return Err(Unknown(Reason.UNKNOWN_KEY, "expected an organisation in force, found another"))
+        return Err(
+            UnknownCaller(Reason.UNKNOWN_KEY, "expected an organisation in force, found another")
+        )
     if relayed.key not in organisation.keys and configuration.version > relayed.version:
-        return Err(Unknown(Reason.KEY_WITHDRAWN, "expected a key in force, found a withdrawn one"))
+        return Err(
+            UnknownCaller(Reason.KEY_WITHDRAWN, "expected a key in force, found a withdrawn one")
+        )
     return Ok(KnownCaller(configuration.version, organisation, relayed.key))
 
 
