--- a/sparline/peers/__init__.py
+++ b/sparline/peers/__init__.py
@@ -9,10 +9,10 @@
 from sparline.peers._spread import Scope, next_hops, scope_of
 
 __all__ = [
-    "MAX_MESSAGE_BYTES",
-    "MESSAGE_TYPES",
     "Dialer",
     "EncodedMessage",
+    "MAX_MESSAGE_BYTES",
+    "MESSAGE_TYPES",
     "Membership",
     "Mesh",
     "Message",
