--- a/sparline/relay/_receiver.py
+++ b/sparline/relay/_receiver.py
@@ -39,6 +39,7 @@
     RelayRefusal,
 )
 
+# Longest wait for each message of a request body.
 BODY_TIMEOUT_S = 5.0
 
 
@@ -68,16 +69,16 @@
                     case Ok(RelayOffer() as offer):
                         self._serve_request(connection, peer, offer)
                     case Ok(RelayBody()):
-                        continue  # body of a repeatable request that was refused while it was sent
+                        continue  # body of a refused repeatable request; it is sent without a grant
                     case _:
                         return
         except (ConnectionClosed, OSError):
             return
 
     def _serve_request(self, connection: Connection, peer: Hello, offer: RelayOffer) -> None:
-        # The deadline counts from the receipt of the offer, so it misses any time that the
-        # offer waited in a suspended process. Such a request is detected by its connection,
-        # which the sender closes when it gives up.
+        # The deadline counts from the receipt of the offer, so it does not include any time that
+        # the offer waited while this process was suspended. A request that expired meanwhile is
+        # detected by its connection, which the sender closes when it gives up.
         deadline_at_ms = now_ms() + offer.deadline_ms
         refusal = self._refusal_reason(
             offer, self._build_request(connection, offer, deadline_at_ms, _BODY_PLACEHOLDER)
@@ -148,11 +149,12 @@
             answer.close()
 
 
+# Stands in for the body while an offer is checked, before the peer may send the body.
 _BODY_PLACEHOLDER = RelayBody("", "", "", "", 0, b"", False)
 
 
 def _prefix_keys(offer: RelayOffer, body: RelayBody) -> tuple[int, ...]:
-    """Hash the prompt prefixes locally, once the body is here; hashes are not sent to peers."""
+    """Hash the prompt prefixes in the body; the hashes are not part of the offer."""
     try:
         prompt = msgspec.json.decode(body.body, type=_Prompt).prompt
     except msgspec.DecodeError:
--- a/sparline/relay/_sender.py
+++ b/sparline/relay/_sender.py
@@ -40,10 +40,11 @@
 )
 from sparline.schema._settings import Address
 
-READ_SLICE_S = 0.1
+# How often a wait for a message checks the deadline and whether the caller still waits.
+RECEIVE_POLL_INTERVAL_S = 0.1
 # Longest wait for a grant; the body has not been sent by then, so the attempt has not run.
 GRANT_TIMEOUT_MS = 1_500.0
-MAX_IDLE_CONNECTIONS = 16
+MAX_IDLE_PER_PEER = 16
 
 
 class RelaySender:
@@ -117,7 +118,7 @@
         return self._dialer.dial(address, hello, peer_id).map(lambda pair: pair[0])
 
     def _keep_idle(self, peer_id: InstanceId, connection: Connection) -> None:
-        if len(self._idle[peer_id]) < MAX_IDLE_CONNECTIONS:
+        if len(self._idle[peer_id]) < MAX_IDLE_PER_PEER:
             self._idle[peer_id].append(connection)
         else:
             self._close(connection)
@@ -190,9 +191,9 @@
         )
 
     def _await_grant(self) -> AnswerEnd | None:
-        """Wait for the grant to send the body; without it, none of the body has been sent."""
-        give_up_ms = min(now_ms() + GRANT_TIMEOUT_MS, self._request.deadline_at_ms)
-        match self._receive(give_up_ms):
+        """Wait for the grant; return how the attempt ended if the body must not be sent."""
+        give_up_at_ms = min(now_ms() + GRANT_TIMEOUT_MS, self._request.deadline_at_ms)
+        match self._receive(give_up_at_ms):
             case Ok(RelayGrant()):
                 pass
             case Ok(RelayRefusal() as refusal):
@@ -262,15 +263,15 @@
         self.connection.send(data)
         self._bytes_counter.inc(len(data))
 
-    def _receive(self, give_up_ms: float) -> Result[Message, Reason]:
-        """Read one message of this attempt; a message of another one ends the connection."""
+    def _receive(self, give_up_at_ms: float) -> Result[Message, Reason]:
+        """Read one message; a malformed one or one of another attempt counts as a lost peer."""
         while True:
-            if now_ms() >= give_up_ms:
+            if now_ms() >= give_up_at_ms:
                 return Err(Reason.DEADLINE_PASSED)
             if not self._request.still_wanted():
                 return Err(Reason.CALLER_GONE)
             try:
-                data = self.connection.recv(timeout=READ_SLICE_S)
+                data = self.connection.recv(timeout=RECEIVE_POLL_INTERVAL_S)
             except TimeoutError:
                 continue
             self._bytes_counter.inc(len(data))
--- a/sparline/relay/tests/test_sender.py
+++ b/sparline/relay/tests/test_sender.py
@@ -1,4 +1,4 @@
-"""Outcomes that a relay sender reports when its peer fails at any step of a request."""
+"""Outcome that a relay sender reports for each step of a request at which its peer may fail."""
 
 import random
 from collections.abc import Callable, Iterator
--- a/sparline/requests/_body.py
+++ b/sparline/requests/_body.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Callable, Iterator
 
-READ_BYTES = 32_768
+READ_BYTES = 32_768  # per read of the stream
 MAX_BUFFERED_BYTES = 262_144
-# Bounds each part so that it fits in one frame between instances.
+# Largest part of a buffered body, so that each fits in one message between instances.
 MAX_PART_BYTES = 1_000_000
 
-# Length of a body whose sender did not state it.
+# Stands for the length of a body whose sender did not state it.
 UNKNOWN_LENGTH = -1
 
 
@@ -15,7 +15,7 @@
     """Stream a body once; it can be replayed only while all of it is buffered."""
 
     def __init__(self, read: Callable[[int], bytes], length: int) -> None:
-        """Read from a function that returns empty bytes at the end."""
+        """Create a body from a function that reads up to a number of bytes, none at the end."""
         self.length = length  # bytes, or UNKNOWN_LENGTH
         self._read = read
         self._buffered: list[bytes] = []
--- a/sparline/requests/_callers.py
+++ b/sparline/requests/_callers.py
@@ -55,22 +55,24 @@
 CallerResult = Result[KnownCaller | None, UnknownCaller]
 
 
-def find_caller(configuration: Configuration, route: Route, shown: PresentedKey) -> CallerResult:
-    """Return the caller of a request, None where no key is required."""
+def find_caller(
+    configuration: Configuration, route: Route, presented: PresentedKey
+) -> CallerResult:
+    """Return the caller of a request, None if it has no key and needs none."""
     known = configuration.organisations
     if known is None:
         return Ok(None)
-    if shown.digest is None:
-        if route.allows_anonymous and shown.fault is KeyFault.NONE:
+    if presented.digest is None:
+        if route.allows_anonymous and presented.fault is KeyFault.NONE:
             return Ok(None)
-        assert shown.fault is not None, "a missing key must have a fault"
-        text = f"Authorization: expected Bearer KEY, found {shown.fault.value}"
+        assert presented.fault is not None, "a missing key must have a fault"
+        text = f"Authorization: expected Bearer KEY, found {presented.fault.value}"
         return Err(UnknownCaller(Reason.NO_KEY, text))
-    organisation = known.by_key.get(shown.digest)
+    organisation = known.by_key.get(presented.digest)
     if organisation is None:
         text = "Authorization: expected a key in force, found one that is not"
         return Err(UnknownCaller(Reason.UNKNOWN_KEY, text))
-    return Ok(KnownCaller(configuration.version, organisation, shown.digest))
+    return Ok(KnownCaller(configuration.version, organisation, presented.digest))
 
 
 def find_relayed_caller(
@@ -78,8 +80,9 @@
 ) -> CallerResult:
     """Return the caller of a request that another instance relays.
 
-    The instance with the newer configuration decides: a key that is unknown here is accepted unless
-    the configuration here is newer than the relaying instance's, which means it was withdrawn.
+    The instance with the newer configuration decides. A key that is unknown here is accepted if the
+    configuration here is no newer than the relaying instance's: the key may have been added since.
+    If the configuration here is newer, the key was withdrawn.
     """
     known = configuration.organisations
     if relayed is None:
--- a/sparline/requests/_ledger.py
+++ b/sparline/requests/_ledger.py
@@ -13,7 +13,7 @@
 from sparline.requests._types import AnswerEnd, not_run, unknown
 from sparline.schema._messages import Outcome
 
-# Validity of a ticket; its outcome is kept for longer.
+# How long a ticket is valid; the outcome of its request is kept for longer.
 TICKET_TTL_MS = 600_000
 OUTCOME_TTL_MS = 2 * TICKET_TTL_MS
 MAX_ENTRIES = 200_000
@@ -25,7 +25,7 @@
 
     instance_id: InstanceId  # the only instance that may run it
     incarnation: Incarnation  # the only incarnation that may run it
-    uptime_ms: int  # upper bound on the age of that incarnation when the ticket was issued
+    uptime_ms: int  # the incarnation's age as last reported to the ticket's issuer
     nonce: str  # makes the ticket unique
 
     def __str__(self) -> str:
@@ -77,7 +77,7 @@
         return int(now_ms() - self._started_at_ms)
 
     def check_ticket(self, ticket: Ticket) -> AnswerEnd | None:
-        """Return how to refuse a ticket, None if it belongs to this incarnation and is valid.
+        """Return the refusal of a ticket, None if it belongs to this incarnation and is valid.
 
         A request with another incarnation's ticket may have run there, so its outcome is unknown and
         never not_run.
--- a/sparline/requests/_routed.py
+++ b/sparline/requests/_routed.py
@@ -32,7 +32,7 @@
     @property
     def shared_tokens(self) -> int:
         """Return the length of the longest shared prefix in tokens."""
-        return sum(start.own_tokens for start in self.shared_prefixes)
+        return sum(prefix.own_tokens for prefix in self.shared_prefixes)
 
     @property
     def held_tokens(self) -> int:
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedRequest:
-    """Hold one request while an instance processes it."""
+    """Hold one request that the gateway matched to a route."""
 
     request_id: RequestId  # as the caller sent it
     route: Route  # route that matches it in the configuration
@@ -52,7 +52,7 @@
     headers: list[tuple[bytes, bytes]]  # headers to forward, names in lower case
     body: bytes  # without framing
     prompt: Prompt | None  # only for model engines
-    resume_after: int | None  # last event of an earlier answer that the caller received
+    resume_after: int | None  # ID of the last event that the caller has of an earlier answer
     deadline_at_ms: float  # deadline, on this process's clock
     origin: Origin  # received from a caller or from a peer
     caller: KnownCaller | None = None  # authenticated caller, None where no key was required
@@ -64,7 +64,7 @@
 
     @property
     def priority(self) -> int:
-        """Return its priority, 0 the most urgent; the organisation's overrides the route's."""
+        """Return its priority, 0 for the most urgent; the organisation's overrides the route's."""
         own = self.caller.organisation.priority if self.caller else None
         return self.route.priority if own is None else own
 
--- a/sparline/requests/_types.py
+++ b/sparline/requests/_types.py
@@ -56,9 +56,7 @@
     body: RequestBody  # body to send
     origin: Origin  # received from a caller or relayed by a peer
     from_region: RegionName  # region of the instance that received it from the caller
-    still_wanted: Callable[
-        [], bool
-    ]  # whether the caller or sending peer still waits for the answer
+    still_wanted: Callable[[], bool]  # whether the caller or the relaying peer still waits
 
     @property
     def routing_key(self) -> str:
@@ -66,7 +64,10 @@
         return f"{self.target}+{self.adapter}" if self.adapter else self.target
 
     def digest(self) -> RequestDigest | None:
-        """Return a digest equal for an organisation's repeats; None unless the body is buffered."""
+        """Return a digest that is equal for all repeats of a request by one organisation.
+
+        It is None unless the whole body is buffered.
+        """
         content = self.body.content
         if content is None:
             return None
--- a/sparline/requests/tests/test_callers.py
+++ b/sparline/requests/tests/test_callers.py
@@ -57,12 +57,12 @@
 
 
 @pytest.mark.parametrize(
-    ("shown", "route", "expected", "reason"),
+    ("presented", "route", "expected", "reason"),
     [row[1:] for row in PRESENTED],
     ids=[row[0] for row in PRESENTED],
 )
-def test_caller_is_found_by_key(shown, route, expected, reason):
-    found = find_caller(CURRENT, route, shown)
+def test_caller_is_found_by_key(presented, route, expected, reason):
+    found = find_caller(CURRENT, route, presented)
     if reason is not None:
         assert found.unwrap_err().reason is reason
         return
@@ -71,14 +71,14 @@
 
 
 def test_no_key_is_required_without_configured_organisations():
-    without = make_rules(version=5)
-    assert find_caller(without, CLOSED, PresentedKey(None, KeyFault.NONE)).unwrap() is None
-    assert find_caller(without, CLOSED, PresentedKey(NEW)).unwrap() is None
+    no_keys_required = make_rules(version=5)
+    assert find_caller(no_keys_required, CLOSED, PresentedKey(None, KeyFault.NONE)).unwrap() is None
+    assert find_caller(no_keys_required, CLOSED, PresentedKey(NEW)).unwrap() is None
 
 
 def test_keys_are_still_required_after_the_last_organisation_is_removed():
-    nobody = version(6)
-    assert find_caller(nobody, CLOSED, PresentedKey(MINE)).is_err()
+    no_organisations = version(6)
+    assert find_caller(no_organisations, CLOSED, PresentedKey(MINE)).is_err()
 
 
 # The older version does not have the new key yet; the newer one no longer has the withdrawn key.
@@ -137,7 +137,7 @@
 
 
 NORTH, SOUTH, WEST = (RegionName(region) for region in ("north", "south", "west"))
-HOMES = [
+ALLOWED_REGIONS = [
     ((), (), {NORTH, SOUTH, WEST}),
     ((NORTH, SOUTH), (), {NORTH, SOUTH}),
     ((), (SOUTH,), {SOUTH}),
@@ -146,7 +146,7 @@
 ]
 
 
-@pytest.mark.parametrize(("of_route", "of_organisation", "allowed"), HOMES)
+@pytest.mark.parametrize(("of_route", "of_organisation", "allowed"), ALLOWED_REGIONS)
 def test_region_must_be_allowed_by_route_and_organisation(of_route, of_organisation, allowed):
     known_caller = KnownCaller(
         CURRENT.version, organisation("ore", allowed_regions=frozenset(of_organisation)), MINE
--- a/sparline/requests/tests/test_ledger.py
+++ b/sparline/requests/tests/test_ledger.py
@@ -18,24 +18,28 @@
 )
 from sparline.requests._ledger import TICKET_TTL_MS
 
-ME, NOW = InstanceId("a-0"), Incarnation("now")
+INSTANCE_ID, INCARNATION = InstanceId("a-0"), Incarnation("now")
 ORG, ID = OrganisationId("o"), RequestId("r")
 
 TICKETS = [
     # name, ticket, refusal
-    ("valid ticket of this incarnation", Ticket(ME, NOW, 0, "n"), None),
-    ("another instance", Ticket(InstanceId("a-1"), NOW, 0, "n"), Reason.TICKET_ELSEWHERE),
-    ("an earlier incarnation", Ticket(ME, Incarnation("before"), 0, "n"), Reason.TICKET_ELSEWHERE),
-    ("issued in the future", Ticket(ME, NOW, 60_000, "n"), Reason.TICKET_EXPIRED),
-    ("expired", Ticket(ME, NOW, -TICKET_TTL_MS - 1, "n"), Reason.TICKET_EXPIRED),
+    ("valid ticket of this incarnation", Ticket(INSTANCE_ID, INCARNATION, 0, "n"), None),
+    ("another instance", Ticket(InstanceId("a-1"), INCARNATION, 0, "n"), Reason.TICKET_ELSEWHERE),
+    (
+        "an earlier incarnation",
+        Ticket(INSTANCE_ID, Incarnation("before"), 0, "n"),
+        Reason.TICKET_ELSEWHERE,
+    ),
+    ("issued in the future", Ticket(INSTANCE_ID, INCARNATION, 60_000, "n"), Reason.TICKET_EXPIRED),
+    ("expired", Ticket(INSTANCE_ID, INCARNATION, -TICKET_TTL_MS - 1, "n"), Reason.TICKET_EXPIRED),
 ]
 
 
 @pytest.mark.parametrize(("name", "ticket", "reason"), TICKETS, ids=[row[0] for row in TICKETS])
 def test_ticket(name: str, ticket: Ticket, reason: Reason | None) -> None:
-    refusal = RequestLedger(ME, NOW).check_ticket(ticket)
+    refusal = RequestLedger(INSTANCE_ID, INCARNATION).check_ticket(ticket)
     assert (refusal.reason if refusal else None) is reason
-    # It may have run on the instance that issued it, so the outcome is never not_run.
+    # It may have run on the instance that it names, so the outcome is never not_run.
     assert refusal is None or refusal.outcome is Outcome.unknown
 
 
@@ -50,7 +54,7 @@
 
 @pytest.mark.parametrize(("name", "first", "second"), REPEATS, ids=[row[0] for row in REPEATS])
 def test_second_attempt(name: str, first: AnswerEnd | None, second: AnswerEnd | None) -> None:
-    ledger = RequestLedger(ME, NOW)
+    ledger = RequestLedger(INSTANCE_ID, INCARNATION)
     assert ledger.begin(ORG, ID) is None
     if first:
         ledger.end(ORG, ID, first)
@@ -60,7 +64,7 @@
 
 
 def test_request_can_not_end_twice() -> None:
-    ledger = RequestLedger(ME, NOW)
+    ledger = RequestLedger(INSTANCE_ID, INCARNATION)
     ledger.begin(ORG, ID)
     ledger.end(ORG, ID, COMPLETE)
     with pytest.raises(AssertionError, match="ended twice"):
@@ -73,7 +77,7 @@
 
 
 def test_ticket_round_trips_through_text() -> None:
-    ticket = make_ticket(ME, NOW, 17)
+    ticket = make_ticket(INSTANCE_ID, INCARNATION, 17)
     assert parse_ticket(str(ticket)).unwrap() == ticket
 
 
--- a/sparline/routes/_organisations.py
+++ b/sparline/routes/_organisations.py
@@ -11,7 +11,7 @@
 # Identifies a key without revealing it; only digests of keys are stored or sent to peers.
 KeyDigest = NewType("KeyDigest", bytes)
 
-# Bytes of a digest: enough that nobody can construct a key with the digest of another key.
+# Long enough that nobody can construct a key with the digest of another key.
 DIGEST_BYTES = 16
 
 
@@ -66,8 +66,8 @@
     return KeyDigest(hashlib.sha256(key).digest()[:DIGEST_BYTES])
 
 
-def make_organisations(found: Iterable[Organisation]) -> Organisations:
+def make_organisations(organisations: Iterable[Organisation]) -> Organisations:
     """Index organisations; the caller has checked that their names and keys are unique."""
-    by_id = {organisation.id: organisation for organisation in found}
+    by_id = {organisation.id: organisation for organisation in organisations}
     by_key = {key: organisation for organisation in by_id.values() for key in organisation.keys}
     return Organisations(by_id, by_key)
--- a/sparline/routes/_types.py
+++ b/sparline/routes/_types.py
@@ -17,7 +17,7 @@
 
 
 class RequestKind(Enum):
-    """Say whether a request may run again, and whether its answer is a stream."""
+    """Name how often a request may run, and whether its answer is a stream."""
 
     SAFE = "safe"  # may run more than once
     UNSAFE = "unsafe"  # runs at most once
@@ -40,7 +40,7 @@
     host: str  # host in lower case, without port
     path_start: str  # path prefix; begins and ends with a slash
     kind: RequestKind  # whether requests may run again
-    timeout_ms: float  # longest time that a request may be held
+    timeout_ms: float  # longest time that a request may take
     wanted_latency_ms: float  # target time to the answer, or to the first event of a stream
     pause_target_ms: float  # target for the longest pause between events of a stream, 0 for none
     priority: int  # 0 is the most urgent
@@ -129,7 +129,7 @@
 ) -> Configuration:
     """Create a configuration with its routes indexed by host, longest path prefix first."""
     by_host: dict[str, list[Route]] = {}
-    for route in sorted(routes, key=lambda one: -len(one.path_start)):
+    for route in sorted(routes, key=lambda item: -len(item.path_start)):
         by_host.setdefault(route.host, []).append(route)
     routes_by_host = {host: tuple(found) for host, found in by_host.items()}
     return Configuration(version, routes, services, limits, routes_by_host, organisations)
