--- a/sparline/platform/_requests.py
+++ b/sparline/platform/_requests.py
@@ -83,7 +83,7 @@
     """Return the digest of the one key that is shown; two of them are none."""
     shown = [value for name, value in request.headers if name == names.AUTHORIZATION]
     if not shown:
-        return PresentedKey(None, KeyFault.NONE)
+        return PresentedKey(None, KeyFault.MISSING)
     if len(shown) > 1:
         return PresentedKey(None, KeyFault.SEVERAL)
     scheme, _, key = shown[0].strip().partition(b" ")
--- a/sparline/platform/tests/test_requests.py
+++ b/sparline/platform/tests/test_requests.py
@@ -76,7 +76,7 @@
 KEYS = [
     ("a key", [("authorization", "Bearer k1")], PresentedKey(digest_of_key(b"k1"))),
     ("the scheme in another case", [("authorization", "bEARER  k1 ")], PresentedKey(digest_of_key(b"k1"))),
-    ("none", [], PresentedKey(None, KeyFault.NONE)),
+    ("none", [], PresentedKey(None, KeyFault.MISSING)),
     ("empty", [("authorization", "")], PresentedKey(None, KeyFault.SCHEME)),
     ("no key behind the scheme", [("authorization", "Bearer ")], PresentedKey(None, KeyFault.SCHEME)),
     ("another scheme", [("authorization", "Basic azE=")], PresentedKey(None, KeyFault.SCHEME)),
--- a/sparline/requests/_callers.py
+++ b/sparline/requests/_callers.py
@@ -13,7 +13,7 @@
 class KeyFault(Enum):
     """Name why a request has no usable key; the value is part of the error sent to the caller."""
 
-    NONE = "no key"
+    MISSING = "no key"
     SEVERAL = "several keys"
     SCHEME = "another scheme"
 
@@ -63,7 +63,7 @@
     if known is None:
         return Ok(None)
     if presented.digest is None:
-        if route.allows_anonymous and presented.fault is KeyFault.NONE:
+        if route.allows_anonymous and presented.fault is KeyFault.MISSING:
             return Ok(None)
         assert presented.fault is not None, "a missing key must have a fault"
         text = f"Authorization: expected Bearer KEY, found {presented.fault.value}"
--- a/sparline/requests/tests/test_callers.py
+++ b/sparline/requests/tests/test_callers.py
@@ -46,8 +46,8 @@
     ("a key", PresentedKey(MINE), CLOSED, "ore", None),
     ("a key of another organisation", PresentedKey(OTHERS), CLOSED, "peat", None),
     ("a key on an open route", PresentedKey(MINE), OPEN, "ore", None),
-    ("no key on an open route", PresentedKey(None, KeyFault.NONE), OPEN, None, None),
-    ("no key", PresentedKey(None, KeyFault.NONE), CLOSED, None, Reason.NO_KEY),
+    ("no key on an open route", PresentedKey(None, KeyFault.MISSING), OPEN, None, None),
+    ("no key", PresentedKey(None, KeyFault.MISSING), CLOSED, None, Reason.NO_KEY),
     ("two keys", PresentedKey(None, KeyFault.SEVERAL), CLOSED, None, Reason.NO_KEY),
     ("two keys on an open route", PresentedKey(None, KeyFault.SEVERAL), OPEN, None, Reason.NO_KEY),
     ("another scheme", PresentedKey(None, KeyFault.SCHEME), OPEN, None, Reason.NO_KEY),
@@ -72,7 +72,9 @@
 
 def test_no_key_is_required_without_configured_organisations():
     no_keys_required = make_rules(version=5)
-    assert find_caller(no_keys_required, CLOSED, PresentedKey(None, KeyFault.NONE)).unwrap() is None
+    assert (
+        find_caller(no_keys_required, CLOSED, PresentedKey(None, KeyFault.MISSING)).unwrap() is None
+    )
     assert find_caller(no_keys_required, CLOSED, PresentedKey(NEW)).unwrap() is None
 
 
