--- a/sparline/requests/_callers.py
+++ b/sparline/requests/_callers.py
@@ -88,11 +88,13 @@
     if relayed is None:
         if known is None or route.allows_anonymous:
             return Ok(None)
-        return Err(UnknownCaller(Reason.NO_KEY, "expected an organisation, found none told"))
+        return Err(UnknownCaller(Reason.NO_KEY, "expected an organisation, found none"))
     organisation = known.by_id.get(relayed.organisation) if known else None
     if organisation is None:
         return Err(
-            UnknownCaller(Reason.UNKNOWN_KEY, "expected an organisation in force, found another")
+            UnknownCaller(
+                Reason.UNKNOWN_KEY, "expected an organisation in force, found an unknown one"
+            )
         )
     if relayed.key not in organisation.keys and configuration.version > relayed.version:
         return Err(
