--- a/sparline/routing/__init__.py
+++ b/sparline/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing: what is known of load, and the choice of region, zone and backend server."""
+"""Routing: load state, and the choice of region, availability zone and backend server."""
 
 from sparline.routing._candidates import (
     CandidateFinder,
--- a/sparline/routing/_candidates.py
+++ b/sparline/routing/_candidates.py
@@ -1,4 +1,4 @@
-"""Candidates for a request: backend servers here and zones elsewhere, each with a verdict."""
+"""Candidates for a request: local backend servers and remote zones, each with a verdict."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,9 +21,9 @@
 from sparline.schema._declarations import Objective
 from sparline.schema._messages import InstanceState, RoomSummary, TargetSummary
 
-# Delay between zones of one region, one way.
+# One-way network delay between zones of one region.
 ZONE_DELAY_MS = 0.5
-# Typical sizes on the wire, for prices.
+# Typical sizes on the wire, for estimates of transfer cost.
 BYTES_PER_PROMPT_TOKEN = 4
 BYTES_PER_OUTPUT_TOKEN = 110
 MS_PER_HOUR = 3_600_000.0
@@ -31,7 +31,7 @@
 
 
 class Verdict(StrEnum):
-    """Say why a candidate may be used or is passed over."""
+    """Say whether a candidate is usable, or why it is skipped."""
 
     USABLE = "usable"
     NO_ROOM = "no_room"
@@ -46,38 +46,38 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalCandidate:
-    """Hold one backend server of this zone."""
+    """Describe one backend server of this zone."""
 
-    estimate: LocalEstimate  # waits and times
+    estimate: LocalEstimate  # estimated wait and latency
     cost: float  # price of the request there
     verdict: Verdict  # whether it may be used now
 
 
 @dataclass(frozen=True, slots=True)
 class RemoteCandidate:
-    """Hold one other zone."""
+    """Describe one remote zone."""
 
     region: str  # region of the zone
-    zone: ZoneName  # the zone
+    zone: ZoneName  # its name
     instance_id: InstanceId | None  # instance to send to, None where none is reachable
-    ttft_ms: float  # estimated time to the first token, with the way there and back
+    ttft_ms: float  # estimated time to first token, including network delay
     total_ms: float  # estimated time to the end
-    cost: float  # price of the request there, with its way
+    cost: float  # price of the request there, including transfer
     verdict: Verdict  # whether it may be used now
 
 
 @dataclass(frozen=True, slots=True)
 class Candidates:
-    """Hold all candidates of one request."""
+    """Hold all candidates for one request."""
 
     local: tuple[LocalCandidate, ...]  # backend servers of this zone
-    remote: tuple[RemoteCandidate, ...]  # other zones
-    objective: Objective  # what the workload weighs most
-    ttft_target_ms: float  # wanted time to the first token
+    remote: tuple[RemoteCandidate, ...]  # remote zones
+    objective: Objective  # optimisation objective of the workload
+    ttft_target_ms: float  # target time to first token
 
 
 class CandidateFinder:
-    """Find and judge the candidates of a request."""
+    """Find and evaluate the candidates for a request."""
 
     def __init__(
         self,
@@ -88,9 +88,9 @@
         prefixes: PrefixMap,
         spare: SpareRoom,
     ) -> None:
-        """Read from the tables of one instance."""
-        self.catalog = Catalog()  # replaced when the files change
-        self.reachable: Callable[[InstanceId], bool] = lambda _id: True  # first-hand knowledge
+        """Use the load, summary, prefix and capacity tables of one instance."""
+        self.catalog = Catalog()  # replaced when the declarations change
+        self.reachable: Callable[[InstanceId], bool] = lambda _id: True  # from own peer links
         self._region = region
         self._zone = zone
         self._loads = loads
@@ -99,7 +99,7 @@
         self._spare = spare
 
     def find(self, request: Request, excluded: frozenset[str] = frozenset()) -> Candidates:
-        """Return every candidate; `excluded` holds backend servers and zones tried already."""
+        """Return every candidate; `excluded` lists backend servers and zones already tried."""
         model = self.catalog.models.get(request.target)
         service = self.catalog.services.get(request.target)
         declared = model or service
@@ -165,7 +165,7 @@
         if target is None:
             return 0.0, 0.0, 0.0
         delay_ms = self.catalog.link_delay_ms(self._region, region) + ZONE_DELAY_MS
-        # A request that may not be repeated waits for a grant before its content leaves.
+        # A non-repeatable request waits for the peer's grant before its body is sent.
         ways = 2 if request.repeatable else 4
         prefill_ms = request.prompt_tokens * target.prompt_token_us / US_PER_MS
         ttft_ms = (
@@ -210,7 +210,7 @@
         return Verdict.USABLE
 
     def _senders(self, zone: str) -> int:
-        """Return how many instances may use a zone's room."""
+        """Return the number of instances that may send to a zone."""
         elsewhere = [
             one for one in self.catalog.instances.values() if one.availability_zone != zone
         ]
@@ -224,20 +224,20 @@
             and one.instance_id in self.catalog.instances
             and self.reachable(InstanceId(one.instance_id))
         ]
-        # Summaries alternate, so that the members of a zone are used in turn.
+        # The sequence number changes with every summary, which rotates through the zone's members.
         return InstanceId(live[held.summary.sequence % len(live)]) if live else None
 
 
 def room_for(length: Length, target: TargetSummary) -> RoomSummary:
-    """Return the room that a zone has for requests of a length."""
+    """Return the free capacity of a zone for requests of a length class."""
     return target.long if length is Length.LONG else target.short
 
 
 def room_key(request: Request) -> str:
-    """Return the name under which shares of room are counted."""
+    """Return the key under which capacity shares are counted."""
     return f"{request.routing_key}/{request.length.value}"
 
 
 def long_or_short(prompt_tokens: int, short_prompt_tokens: int) -> Length:
-    """Return how much room a prompt takes."""
+    """Return the length class of a prompt."""
     return Length.SHORT if prompt_tokens <= short_prompt_tokens else Length.LONG
--- a/sparline/routing/_estimate.py
+++ b/sparline/routing/_estimate.py
@@ -1,4 +1,4 @@
-"""Estimates of waits and costs, from load, speed and distance."""
+"""Estimates of wait and latency at local backend servers, from load and speed."""
 
 from dataclasses import dataclass
 
@@ -6,47 +6,47 @@
 from sparline.routing._load_table import BackendState, Queue
 from sparline.schema._declarations import Service
 
-# Assumed of an engine until its first report.
+# Assumed for an engine before its first report.
 DEFAULT_SLOTS = 1
 DEFAULT_PREFILL_TOKENS_PER_S = 1000.0
 DEFAULT_TOKEN_INTERVAL_MS = 50.0
-# Part of an engine's slots that long requests leave to short ones, and short ones to
-# long ones that wait. So neither waits for all of the other.
+# Fraction of an engine's slots that long requests leave free for short ones, and short requests
+# for waiting long ones, so that neither length class has to wait for all of the other.
 RESERVE = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class BackendSpeed:
-    """Hold the size and speed of one backend server."""
+    """Hold the capacity and speed of one backend server."""
 
-    slots: int  # requests run at once
-    ms_per_prompt_token: float  # prefill of one token
-    token_interval_ms: float  # time between tokens
+    slots: int  # maximum number of concurrent requests
+    ms_per_prompt_token: float  # prefill time per prompt token
+    token_interval_ms: float  # time between output tokens
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneView:
-    """Hold what matters of the zone beside one backend server."""
+    """Hold the zone-wide inputs of an estimate."""
 
     sharers: int  # live instances of the zone, which share its backend servers
-    queue: Queue  # requests for the same target that wait in the zone
-    queue_ms: float  # estimated time until those that go first have a slot
+    queue: Queue  # requests waiting in the zone for the same target
+    queue_ms: float  # estimated time until the requests ahead have a slot
 
 
 @dataclass(frozen=True, slots=True)
 class LocalEstimate:
-    """Hold what one backend server of this zone would give a request."""
+    """Hold the estimate for one request at one backend server of this zone."""
 
     backend: BackendState  # the backend server
     wait_ms: float  # estimated wait before prefill
-    ttft_ms: float  # estimated time to the first token
+    ttft_ms: float  # estimated time to first token
     total_ms: float  # estimated time to the end of the answer
     saving_ms: float  # prefill time that a cached prefix saves
-    has_room: bool  # whether the request may be sent now
+    has_room: bool  # whether the request may take a slot now
 
 
 def speed_of(backend: BackendState, service: Service | None) -> BackendSpeed:
-    """Return the speed from the newest report, or the file's figures for a service."""
+    """Return the speed from the newest report, or from the declaration of a service."""
     if service is not None:
         return BackendSpeed(service.concurrent_calls, 0.0, 0.0)
     report = backend.report
@@ -60,17 +60,17 @@
 
 
 def reserve_of(slots: int) -> int:
-    """Return how many slots requests of one length leave to the other."""
+    """Return the number of slots that each length class leaves to the other."""
     return max(1, int(slots * RESERVE)) if slots > 1 else 0
 
 
 def has_room(request: Request, backend: BackendState, slots: int, zone: ZoneView) -> bool:
-    """Tell whether a request of its length may take a slot now.
+    """Return whether a request may take a slot now.
 
-    What siblings told is old, so the sum alone would leave slots empty or fill them twice.
-    Each instance may always fill its own share with short questions; the engine lets them
-    pass long work. Long work goes where no short question waits, or into the slots kept
-    for it, so that it does not starve.
+    Load reported by siblings is delayed, so the total alone would leave slots empty or fill them
+    twice. Each instance may therefore always fill its own share with short requests, which the
+    engine runs before long ones. Long requests take a slot where no short request waits, or one
+    of the slots reserved for them, so that they do not starve.
     """
     if request.kind is TargetKind.SERVICE:
         return backend.in_flight < slots or backend.own_in_flight < max(slots // zone.sharers, 1)
@@ -84,7 +84,7 @@
 
 
 def backend_wait_ms(backend: BackendState, speed: BackendSpeed) -> float:
-    """Return the wait for a slot and for the prompts before, at one backend server."""
+    """Return the wait for a slot and for earlier prefills at one backend server."""
     too_many = max(backend.in_flight - speed.slots + 1, 0)
     slot_wait_ms = too_many * backend.hold_ms / speed.slots
     return slot_wait_ms + backend.waiting_tokens * speed.ms_per_prompt_token
@@ -93,7 +93,7 @@
 def queue_wait_ms(
     queue: Queue, length: Length, backends: list[BackendState], service: Service | None
 ) -> float:
-    """Return the time until those of a queue that go first have a slot."""
+    """Return the time until the queued requests that are placed first have a slot."""
     slots = sum(speed_of(backend, service).slots for backend in backends)
     if not slots:
         return 0.0
@@ -110,7 +110,7 @@
     cached_tokens: int,
     zone: ZoneView,
 ) -> LocalEstimate:
-    """Estimate one request at one backend server."""
+    """Estimate wait and latency of one request at one backend server."""
     speed = speed_of(backend, service)
     room = has_room(request, backend, speed.slots, zone)
     wait_ms = backend_wait_ms(backend, speed) + (0.0 if room else zone.queue_ms)
--- a/sparline/routing/_policy.py
+++ b/sparline/routing/_policy.py
@@ -1,4 +1,4 @@
-"""The choice between candidates: here, away, wait or refuse."""
+"""Routing policy: run locally, relay to another zone, wait, or refuse."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -9,71 +9,71 @@
 from sparline.routing._summaries import ROOM_WAIT_MS
 from sparline.schema._declarations import Objective
 
-# Sending away must beat home by this much, against swings of the estimates.
+# Minimum advantage of a remote zone over the local one; damps fluctuations of the estimates.
 AWAY_MARGIN_MS = 20.0
 AWAY_MARGIN_SHARE = 0.15
-# Where the tail counts most, home is kept while its wait is within this part of the
-# wanted time to the first token; where cost does, within this part of the deadline.
+# A request stays in the local zone while its estimated wait is within this fraction of the
+# target time to first token (tail_latency objective), or of the remaining deadline (cost).
 TAIL_PATIENCE_SHARE = 0.5
 COST_PATIENCE_SHARE = 0.25
-# A cached prefix is worth waiting for up to this part of what it saves.
+# A cached prefix justifies a longer wait, up to this fraction of the prefill time that it saves.
 AFFINITY_SHARE = 0.5
 AFFINITY_SLACK_MS = 5.0
 RETRY_AFTER_LEAST_MS = 100.0
-# Above every priority that a caller may give.
+# Higher than any priority that a caller can set.
 SHORT_PRIORITY = 10
 
 
 @dataclass(frozen=True, slots=True)
 class RunHere:
-    """Send to a backend server of this zone now."""
+    """Send the request to a backend server of this zone now."""
 
-    candidate: LocalCandidate  # where to
+    candidate: LocalCandidate  # the chosen backend server
 
 
 @dataclass(frozen=True, slots=True)
 class SendAway:
-    """Relay to another zone now."""
+    """Relay the request to another zone now."""
 
-    candidate: RemoteCandidate  # where to
+    candidate: RemoteCandidate  # the chosen zone
 
 
 @dataclass(frozen=True, slots=True)
 class WaitHere:
-    """Wait for room in this zone."""
+    """Wait for free capacity in this zone."""
 
-    ttft_ms: float  # estimated time to the first token, the wait included
+    ttft_ms: float  # estimated time to first token, including the wait
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Give the request its final answer now."""
+    """End the request now without running it."""
 
-    reason: Reason  # why it is not run
-    retry_after_ms: float  # when to come back
+    reason: Reason  # why the request is not run
+    retry_after_ms: float  # delay after which the caller may retry
 
 
 Decision = RunHere | SendAway | WaitHere | Refuse
 
 
 class Policy(Protocol):
-    """Choose between the candidates of a request."""
+    """Choose among the candidates for a request."""
 
     def decide(self, request: Request, candidates: Candidates) -> Decision:
         """Return what to do with a request of this zone's callers."""
         ...
 
     def takes_relayed(self, request: Request, candidates: Candidates) -> bool:
-        """Tell whether a request of another zone's caller is taken."""
+        """Return whether to accept a request relayed from another zone."""
         ...
 
     def engine_priority(self, request: Request) -> int:
-        """Return the priority of a request at its engine."""
+        """Return the scheduling priority that the engine gets with a request."""
         ...
 
 
 class EstimatePolicy:
-    """Choose by estimated times, the workload's objective and margins."""
+    """Choose by estimated latency and cost, according to the workload's objective."""
 
     def decide(self, request: Request, candidates: Candidates) -> Decision:
         """Return what to do with a request of this zone's callers."""
@@ -108,25 +108,25 @@
         return min(usable, key=lambda one: one.ttft_ms, default=None)
 
     def _patience_ms(self, candidates: Candidates, left_ms: float) -> float:
-        """Return the wait up to which a request stays at home, with its caches."""
+        """Return the longest wait for which a request stays in this zone, close to its caches."""
         if candidates.objective is Objective.tail_latency:
             return candidates.ttft_target_ms * TAIL_PATIENCE_SHARE
         return max(candidates.ttft_target_ms, COST_PATIENCE_SHARE * left_ms)
 
     def takes_relayed(self, request: Request, candidates: Candidates) -> bool:
-        """Take what waits here no longer than this zone's callers may be asked to."""
+        """Accept a relayed request if its wait here is within `ROOM_WAIT_MS` and its deadline."""
         home = best_local(request, candidates) or _shortest_wait(candidates)
         if home is None or home.estimate.wait_ms > ROOM_WAIT_MS:
             return False
         return home.estimate.total_ms <= request.left_ms()
 
     def engine_priority(self, request: Request) -> int:
-        """Let short questions pass long work at the engine."""
+        """Raise the priority of short requests so that the engine runs them before long ones."""
         return request.priority + (SHORT_PRIORITY if request.length is Length.SHORT else 0)
 
 
 def best_local(request: Request, candidates: Candidates) -> LocalCandidate | None:
-    """Return the backend server with room that is best; prompts with one start stay together."""
+    """Return the best backend server with free capacity; prompts that share a prefix stay together."""
     usable = [one for one in candidates.local if one.verdict is Verdict.USABLE]
     if not usable:
         return None
@@ -140,7 +140,7 @@
 
 
 def _affinity(request: Request, candidate: LocalCandidate) -> int:
-    """Return a score that all instances of the zone agree on."""
+    """Return a rendezvous hash score, the same at every instance of the zone."""
     return hash64(f"{request.prefix_keys[0]}/{candidate.estimate.backend.member.id}")
 
 
--- a/sparline/routing/_prefixes.py
+++ b/sparline/routing/_prefixes.py
@@ -1,4 +1,4 @@
-"""Which prompt starts this instance sent where; nothing of it leaves the instance."""
+"""Prompt prefixes sent to each backend server; this data never leaves the instance."""
 
 from collections import OrderedDict
 
@@ -7,13 +7,13 @@
 from sparline._ids import BackendServerId
 
 CHARS_PER_TOKEN = 4
-# Starts of a prompt that are told apart, in characters.
+# Prefix lengths that are hashed, in characters.
 PREFIX_LENGTHS = (256, 1024, 4096, 16_384)
 MAX_KEYS = 20_000
 
 
 def prefix_keys(organisation: str, target: str, prompt: str) -> tuple[int, ...]:
-    """Return one hash for each start of the prompt; organisations never share one."""
+    """Return one hash per prefix length; hashes are scoped to an organisation and target."""
     digest = xxhash.xxh64(f"{organisation}\n{target}\n".encode())
     keys: list[int] = []
     begin = 0
@@ -27,14 +27,14 @@
 
 
 class PrefixMap:
-    """Remember which backend server last saw a prompt's start."""
+    """Map prompt prefixes to the backend servers that have processed them (LRU)."""
 
     def __init__(self) -> None:
-        """Start with no prompt seen."""
+        """Create an empty map."""
         self._seen: OrderedDict[int, dict[BackendServerId, str]] = OrderedDict()
 
     def note(self, keys: tuple[int, ...], server_id: BackendServerId, incarnation: str) -> None:
-        """Note that a prompt was read by one incarnation of a backend server."""
+        """Record that one incarnation of a backend server has processed a prompt."""
         for key in keys:
             self._seen.setdefault(key, {})[server_id] = incarnation
             self._seen.move_to_end(key)
@@ -44,7 +44,7 @@
     def cached_tokens(
         self, keys: tuple[int, ...], server_id: BackendServerId, incarnation: str
     ) -> int:
-        """Return how many tokens a backend server probably still holds."""
+        """Return the number of prompt tokens that a backend server probably has cached."""
         known = 0
         for length, key in zip(PREFIX_LENGTHS, keys, strict=False):
             if self._seen.get(key, {}).get(server_id) != incarnation:
--- a/sparline/routing/_spare_room.py
+++ b/sparline/routing/_spare_room.py
@@ -1,4 +1,4 @@
-"""Shares of other zones' spare room, so that many senders don't take it all at once."""
+"""Per-sender shares of other zones' spare capacity, which keep senders from overloading a zone."""
 
 import random
 from dataclasses import dataclass
@@ -8,56 +8,56 @@
 from sparline._ids import ZoneName
 from sparline.routing._summaries import HeldSummary
 
-# After a refusal a zone is left alone for so long, doubled at each refusal in a row.
+# Backoff for a zone after a refusal, doubled at each consecutive refusal.
 BACKOFF_FIRST_MS = 250.0
 BACKOFF_LONGEST_MS = 4_000.0
-# The part of a share that stays when a new summary comes, and what a taken request adds:
-# whoever needs room finds more of it, the receiver's refusals end the growth.
+# Fraction of a share that is kept when a new summary arrives, and the increase per accepted
+# request. A sender with demand thereby gets a larger share, until the receiver refuses.
 KEPT_SHARE = 0.8
 GROWTH = 1.0
-# Not all senders need room at once: shares sum to more than the room, the receiver refuses.
+# Senders rarely need capacity all at once, so shares are overbooked; the receiver may refuse.
 OVERBOOKED = 2.0
-# Room in a zone that has just come into sight is used bit by bit over so long.
+# Slow start: time over which the share of a newly seen zone ramps up.
 RAMP_MS = 5_000.0
 
 
 @dataclass(slots=True)
 class _Use:
-    """Hold what this instance did with one zone's room for one target."""
+    """Hold this instance's use of one zone's capacity for one target."""
 
-    sequence: tuple[str, int] = ("", -1)  # summary that the limit belongs to
-    limit: float = 0.0  # requests that may be there at once
-    room: int = 0  # room that the summary tells of
-    outstanding: int = 0  # requests from here that are there now
-    refusals: int = 0  # refusals in a row
-    closed_until_ms: float = 0.0  # no sending before then
+    sequence: tuple[str, int] = ("", -1)  # reporter and sequence of the summary behind the limit
+    limit: float = 0.0  # maximum number of outstanding requests
+    room: int = 0  # free capacity according to the summary
+    outstanding: int = 0  # requests from this instance in the zone
+    refusals: int = 0  # consecutive refusals
+    closed_until_ms: float = 0.0  # no requests are sent before this time
 
 
 class SpareRoom:
-    """Give out this instance's share of the room that summaries tell of."""
+    """Limit requests to this instance's share of the capacity that summaries advertise."""
 
     def __init__(self, chance: random.Random) -> None:
-        """Start with no room used."""
+        """Create a table without outstanding requests."""
         self._chance = chance
         self._uses: dict[tuple[ZoneName, str], _Use] = {}
 
     def available(self, held: HeldSummary, target: str, room: int, senders: int) -> bool:
-        """Tell whether one more request may be sent to a zone."""
+        """Return whether one more request may be sent to a zone."""
         use = self._use(held, target, room, senders)
         return use.outstanding < use.limit and now_ms() >= use.closed_until_ms
 
     def take(self, zone: ZoneName, target: str) -> None:
-        """Use one place of the share."""
+        """Count one outstanding request."""
         self._uses[zone, target].outstanding += 1
 
     def give_back(self, zone: ZoneName, target: str) -> None:
-        """Return a place once its request has ended."""
+        """Uncount an outstanding request that has ended."""
         use = self._uses[zone, target]
         use.outstanding -= 1
-        assert use.outstanding >= 0, "a place was given back twice"
+        assert use.outstanding >= 0, "a share was given back twice"
 
     def refused(self, zone: ZoneName, target: str) -> None:
-        """Leave a zone alone that gave a request back, and use less of it."""
+        """Back off from a zone that refused a request, and halve the limit."""
         use = self._uses.setdefault((zone, target), _Use())
         use.refusals += 1
         use.limit /= 2
@@ -65,7 +65,7 @@
         use.closed_until_ms = now_ms() + pause_ms * self._chance.uniform(0.75, 1.25)
 
     def accepted(self, zone: ZoneName, target: str) -> None:
-        """End the count of refusals and use a little more."""
+        """Reset the refusal count and increase the limit."""
         use = self._uses.setdefault((zone, target), _Use())
         use.refusals = 0
         use.limit = min(use.limit + GROWTH, use.outstanding + use.room)
@@ -78,7 +78,7 @@
         if use.sequence != current:
             use.sequence = current
             use.room = room
-            # The room told of is what is left beside the requests already there.
+            # The advertised room excludes the requests that already run there.
             share = use.outstanding + self._share(held, room, senders)
             use.limit = min(max(use.limit * KEPT_SHARE, share), use.outstanding + room)
         return use
--- a/sparline/routing/_summaries.py
+++ b/sparline/routing/_summaries.py
@@ -1,4 +1,4 @@
-"""Summaries of zones: made for others, and kept of others."""
+"""Zone summaries: building the one of this zone, and storing those of other zones."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -21,17 +21,17 @@
     ZoneSummary,
 )
 
-# A summary older than this says nothing any more.
+# Summaries older than this are ignored.
 SUMMARY_TTL_MS = 15_000.0
-# Stands for the wait where nothing could run a request.
+# Reported as the wait where no backend server takes work.
 NO_BACKEND_WAIT_MS = 10_000.0
-# A zone takes requests of others while they wait there no longer than this.
+# A zone accepts relayed requests as long as their wait there does not exceed this.
 ROOM_WAIT_MS = 200.0
 US_PER_MS = 1000
 
 
 class SummaryVerdict(Enum):
-    """Say what became of a summary that arrived."""
+    """Say whether a received summary was stored, or why it was dropped."""
 
     NEWER = "newer"
     OLD_SEQUENCE = "old_sequence"
@@ -41,32 +41,32 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldSummary:
-    """Hold a summary and when its content was true."""
+    """Hold a received summary with the times that it was made and received."""
 
-    summary: ZoneSummary  # as received
-    made_at_ms: float  # by this process's clock, at the latest
-    received_ms: float  # when it came here
-    first_seen_ms: float  # when the zone came into sight
+    summary: ZoneSummary  # the summary as received
+    made_at_ms: float  # latest time that it can have been made, by this process's clock
+    received_ms: float  # when this instance received it
+    first_seen_ms: float  # start of the unbroken series of current summaries
 
     def age_ms(self) -> float:
-        """Return how old the content is."""
+        """Return the age of the content."""
         return now_ms() - self.made_at_ms
 
 
 def aged(summary: ZoneSummary, by_ms: float) -> ZoneSummary:
-    """Return a summary that has grown older, to be passed on."""
+    """Return a copy whose age is increased, for forwarding."""
     return msgspec.structs.replace(summary, age_ms=int(summary.age_ms + by_ms))
 
 
 class SummaryTable:
-    """Keep the newest summary of each other zone."""
+    """Store the newest summary of each other zone."""
 
     def __init__(self) -> None:
-        """Start with no zone."""
+        """Create an empty table."""
         self._held: dict[ZoneName, HeldSummary] = {}
 
     def offer(self, summary: ZoneSummary) -> SummaryVerdict:
-        """Take a summary unless what is held is newer."""
+        """Store a summary unless the stored one is newer."""
         zone = ZoneName(summary.availability_zone)
         made_at_ms = now_ms() - summary.age_ms
         held = self._held.get(zone)
@@ -83,11 +83,11 @@
         return SummaryVerdict.NEWER
 
     def fresh(self) -> list[HeldSummary]:
-        """Return the summaries that still say something."""
+        """Return the summaries that have not expired."""
         return [held for held in self._held.values() if held.age_ms() < SUMMARY_TTL_MS]
 
     def get(self, zone: ZoneName) -> HeldSummary | None:
-        """Return the summary of one zone if it still says something."""
+        """Return the summary of one zone, or None if there is none or it has expired."""
         held = self._held.get(zone)
         return held if held and held.age_ms() < SUMMARY_TTL_MS else None
 
@@ -104,7 +104,8 @@
             if summary.sequence > before.sequence
             else SummaryVerdict.OLD_SEQUENCE
         )
-    # Another reporter must have heard of the last one's progress, or have lost it.
+    # A different reporter must have seen the previous reporter's latest uptime, or have dropped
+    # that instance from its members; otherwise its view of the zone is out of date.
     last = {(one.instance_id, one.incarnation): one.uptime_ms for one in before.members}
     for member in summary.members:
         if member.instance_id == before.reporter and member.uptime_ms < last.get(
@@ -116,12 +117,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Reporter:
-    """Name the instance that sums up its zone."""
+    """Identify the instance that builds the summary of its zone."""
 
-    instance_id: InstanceId  # the reporter
-    incarnation: str  # and its incarnation
+    instance_id: InstanceId  # the reporting instance
+    incarnation: str  # incarnation of that instance
     region: str  # region of the zone
-    zone: ZoneName  # zone that is summed up
+    zone: ZoneName  # the summarised zone
 
 
 def summarise(
@@ -131,7 +132,7 @@
     table: LoadTable,
     catalog: Catalog,
 ) -> ZoneSummary:
-    """Sum up the zone for others."""
+    """Build the summary of this zone that is sent to other zones."""
     targets = [one for name in catalog.models for one in _model_targets(name, table, catalog)]
     targets += [one for name in catalog.services for one in _service_targets(name, table, catalog)]
     live = [one for one in members if one.state is not InstanceState.starting]
@@ -166,7 +167,7 @@
 def wait_for_target(
     backends: list[BackendState], service: Service | None, queue: Queue, length: Length
 ) -> float:
-    """Return the shortest wait before prefill, a long time where nothing takes work."""
+    """Return the shortest wait before prefill, or `NO_BACKEND_WAIT_MS` without backend servers."""
     queue_ms = queue_wait_ms(queue, length, backends, service)
     waits = [backend_wait_ms(one, speed_of(one, service)) + queue_ms for one in backends]
     return min(waits, default=NO_BACKEND_WAIT_MS)
@@ -197,7 +198,7 @@
 def _room(
     backends: list[BackendState], service: Service | None, queue: Queue, length: Length
 ) -> RoomSummary:
-    """Return how many requests of others fit before the wait is too long for them."""
+    """Return how many relayed requests fit before their wait exceeds `ROOM_WAIT_MS`."""
     queue_ms = queue_wait_ms(queue, length, backends, service)
     rooms = [_room_at(backend, service, queue_ms, length) for backend in backends]
     wait_ms = wait_for_target(backends, service, queue, length)
--- a/sparline/routing/tests/test_policy.py
+++ b/sparline/routing/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Decisions in tables: here, away, wait or refuse."""
+"""Table tests of routing decisions, free capacity, zone summaries and capacity shares."""
 
 import random
 from dataclasses import replace
@@ -67,21 +67,21 @@
 
 
 DECISIONS = [
-    # name, here, away, objective, deadline in ms, decision
-    ("room here", [local(0)], [remote(5)], TAIL, 1000, RunHere),
-    ("short wait stays", [local(100, NO_ROOM)], [remote(40)], TAIL, 1000, WaitHere),
-    ("long wait leaves", [local(400, NO_ROOM)], [remote(40)], TAIL, 1000, SendAway),
-    ("long wait, away no better", [local(400, NO_ROOM)], [remote(390)], TAIL, 1000, WaitHere),
-    ("long wait, share used", [local(400, NO_ROOM)], [remote(40, NO_SHARE)], TAIL, 1000, WaitHere),
-    ("cost is patient", [local(400, NO_ROOM)], [remote(40)], COST, 4000, WaitHere),
-    ("cost has its limit", [local(1400, NO_ROOM)], [remote(40)], COST, 4000, SendAway),
-    ("out of reach here, in reach away", [local(950, NO_ROOM)], [remote(40)], COST, 1000, SendAway),
-    ("out of reach everywhere", [local(950, NO_ROOM)], [remote(950)], TAIL, 1000, Refuse),
-    ("nothing here", [], [remote(40)], COST, 1000, SendAway),
-    ("nothing anywhere", [], [], TAIL, 1000, Refuse),
-    ("only without a share", [], [remote(40, NO_SHARE)], TAIL, 1000, Refuse),
-    ("not allowed away", [local(400, NO_ROOM)], [remote(1, Verdict.NOT_ALLOWED)], TAIL, 1000, WaitHere),
-    ("relayed once already", [local(400, NO_ROOM)], [remote(1, Verdict.RELAYED)], TAIL, 1000, WaitHere),
+    # name, local candidates, remote candidates, objective, deadline in ms, decision
+    ("free slot in local zone", [local(0)], [remote(5)], TAIL, 1000, RunHere),
+    ("short wait: stays local", [local(100, NO_ROOM)], [remote(40)], TAIL, 1000, WaitHere),
+    ("long wait: relayed", [local(400, NO_ROOM)], [remote(40)], TAIL, 1000, SendAway),
+    ("long wait, remote no better", [local(400, NO_ROOM)], [remote(390)], TAIL, 1000, WaitHere),
+    ("long wait, remote share used up", [local(400, NO_ROOM)], [remote(40, NO_SHARE)], TAIL, 1000, WaitHere),
+    ("cost objective waits longer", [local(400, NO_ROOM)], [remote(40)], COST, 4000, WaitHere),
+    ("cost objective, wait too long", [local(1400, NO_ROOM)], [remote(40)], COST, 4000, SendAway),
+    ("deadline met only remotely", [local(950, NO_ROOM)], [remote(40)], COST, 1000, SendAway),
+    ("deadline met nowhere", [local(950, NO_ROOM)], [remote(950)], TAIL, 1000, Refuse),
+    ("no local candidate", [], [remote(40)], COST, 1000, SendAway),
+    ("no candidate", [], [], TAIL, 1000, Refuse),
+    ("only a remote zone with its share used up", [], [remote(40, NO_SHARE)], TAIL, 1000, Refuse),
+    ("remote region not allowed", [local(400, NO_ROOM)], [remote(1, Verdict.NOT_ALLOWED)], TAIL, 1000, WaitHere),
+    ("already relayed", [local(400, NO_ROOM)], [remote(1, Verdict.RELAYED)], TAIL, 1000, WaitHere),
 ]  # fmt: skip
 
 
@@ -101,52 +101,54 @@
     assert not isinstance(decision, Refuse) or decision.retry_after_ms >= 100
 
 
-def test_cost_takes_the_cheaper_of_two() -> None:
+def test_cost_objective_chooses_the_cheaper_zone() -> None:
     away = (remote(40, zone="dear", cost=2.0), remote(60, zone="cheap", cost=1.0))
     decision = EstimatePolicy().decide(make_request(True), Candidates((), away, COST, 310))
     assert decision.candidate.zone == "cheap"
 
 
 TAKES = [
-    # name, here, whether a relayed request is taken
-    ("room", [local(0)], True),
+    # name, local candidates, whether a relayed request is accepted
+    ("free slot", [local(0)], True),
     ("short wait", [local(150, NO_ROOM)], True),
     ("long wait", [local(250, NO_ROOM)], False),
-    ("nothing here", [], False),
+    ("no local candidate", [], False),
 ]
 
 
 @pytest.mark.parametrize(("name", "here", "taken"), TAKES, ids=[row[0] for row in TAKES])
-def test_receiving_side_has_the_last_word(name: str, here: list, taken: bool) -> None:
+def test_receiving_zone_accepts_or_refuses_relayed_request(
+    name: str, here: list, taken: bool
+) -> None:
     request = replace(make_request(True, 2000), origin=Origin.RELAY)
     assert EstimatePolicy().takes_relayed(request, Candidates(tuple(here), (), TAIL, 310)) is taken
 
 
 AFFINITY = [
-    # name, candidates, chosen
-    ("cached one", [local(0, name="a"), local(10, name="b", saving_ms=100)], "b"),
-    ("cached one is too busy", [local(0, name="a"), local(200, name="b", saving_ms=100)], "a"),
+    # name, local candidates, chosen backend server
+    ("prefix cached", [local(0, name="a"), local(10, name="b", saving_ms=100)], "b"),
+    ("cached, but long wait", [local(0, name="a"), local(200, name="b", saving_ms=100)], "a"),
 ]
 
 
 @pytest.mark.parametrize(("name", "here", "chosen"), AFFINITY, ids=[row[0] for row in AFFINITY])
-def test_prompts_with_one_start_stay_together(name: str, here: list, chosen: str) -> None:
+def test_prompts_with_a_shared_prefix_stay_together(name: str, here: list, chosen: str) -> None:
     request = replace(make_request(True), prefix_keys=(1,))
     best = best_local(request, Candidates(tuple(here), (), TAIL, 310))
     assert best.estimate.backend.member.id == chosen
 
 
 ROOM = [
-    # name, length, in flight, of these long, siblings' in flight, queue, room of 4 slots for 2 sharers
+    # name, length, in flight, long ones of these, siblings' in flight, queue, room in 4 slots for 2 instances
     ("empty", Length.SHORT, 0, 0, 0, Queue(0, 0), True),
-    ("full by others, own share free", Length.SHORT, 1, 0, 4, Queue(0, 0), True),
-    ("full by others, own share used", Length.SHORT, 2, 0, 4, Queue(0, 0), False),
-    ("last slot is kept for long ones that wait", Length.SHORT, 3, 0, 0, Queue(0, 1), False),
-    ("nothing is kept once a long one runs", Length.SHORT, 3, 1, 0, Queue(0, 1), True),
-    ("long one in an empty engine", Length.LONG, 0, 0, 0, Queue(0, 0), True),
-    ("long ones leave a slot", Length.LONG, 3, 3, 0, Queue(0, 0), False),
-    ("long one behind short ones", Length.LONG, 2, 1, 0, Queue(1, 0), False),
-    ("long one in the slot kept for it", Length.LONG, 3, 0, 0, Queue(1, 0), True),
+    ("filled by siblings, own share free", Length.SHORT, 1, 0, 4, Queue(0, 0), True),
+    ("filled by siblings, own share used", Length.SHORT, 2, 0, 4, Queue(0, 0), False),
+    ("last slot reserved for a waiting long request", Length.SHORT, 3, 0, 0, Queue(0, 1), False),
+    ("no slot reserved while a long request runs", Length.SHORT, 3, 1, 0, Queue(0, 1), True),
+    ("long request, empty engine", Length.LONG, 0, 0, 0, Queue(0, 0), True),
+    ("long requests leave a slot free", Length.LONG, 3, 3, 0, Queue(0, 0), False),
+    ("long request waits for short ones", Length.LONG, 2, 1, 0, Queue(1, 0), False),
+    ("long request in the slot reserved for it", Length.LONG, 3, 0, 0, Queue(1, 0), True),
 ]  # fmt: skip
 
 
@@ -178,22 +180,22 @@
 
 
 SUMMARIES = [
-    # name, held, offered, verdict
-    ("next of the same", summary("b-0", 1, 0, {"b-0": 100}), summary("b-0", 2, 0, {"b-0": 200}), "newer"),
-    ("same again", summary("b-0", 2, 0, {"b-0": 200}), summary("b-0", 2, 50, {"b-0": 200}), "old_sequence"),
-    ("overtaken", summary("b-0", 2, 0, {"b-0": 200}), summary("b-0", 1, 0, {"b-0": 100}), "old_sequence"),
-    ("restarted", summary("b-0", 9, 500, {"b-0": 900}), summary("b-0", 1, 0, {"b-0": 1}, "2"), "newer"),
-    ("another, who heard the first go on", summary("b-0", 9, 900, {"b-0": 900, "b-1": 900}), summary("b-1", 1, 0, {"b-0": 1500, "b-1": 1500}), "newer"),
-    ("another, woken from a freeze", summary("b-0", 9, 900, {"b-0": 900, "b-1": 300}), summary("b-1", 5, 0, {"b-0": 300, "b-1": 1500}), "old_members"),
-    ("another, who lost the first", summary("b-0", 9, 900, {"b-0": 900, "b-1": 900}), summary("b-1", 1, 0, {"b-1": 2000}), "newer"),
-    ("another, but older", summary("b-0", 9, 0, {"b-0": 900}), summary("b-1", 1, 5000, {"b-1": 2000}), "old_age"),
+    # name, stored, received, verdict
+    ("next sequence, same reporter", summary("b-0", 1, 0, {"b-0": 100}), summary("b-0", 2, 0, {"b-0": 200}), "newer"),
+    ("duplicate", summary("b-0", 2, 0, {"b-0": 200}), summary("b-0", 2, 50, {"b-0": 200}), "old_sequence"),
+    ("out of order", summary("b-0", 2, 0, {"b-0": 200}), summary("b-0", 1, 0, {"b-0": 100}), "old_sequence"),
+    ("reporter restarted", summary("b-0", 9, 500, {"b-0": 900}), summary("b-0", 1, 0, {"b-0": 1}, "2"), "newer"),
+    ("new reporter that knows the previous one's progress", summary("b-0", 9, 900, {"b-0": 900, "b-1": 900}), summary("b-1", 1, 0, {"b-0": 1500, "b-1": 1500}), "newer"),
+    ("new reporter after a process pause", summary("b-0", 9, 900, {"b-0": 900, "b-1": 300}), summary("b-1", 5, 0, {"b-0": 300, "b-1": 1500}), "old_members"),
+    ("new reporter without the previous one", summary("b-0", 9, 900, {"b-0": 900, "b-1": 900}), summary("b-1", 1, 0, {"b-1": 2000}), "newer"),
+    ("new reporter, but older", summary("b-0", 9, 0, {"b-0": 900}), summary("b-1", 1, 5000, {"b-1": 2000}), "old_age"),
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize(
     ("name", "held", "offered", "verdict"), SUMMARIES, ids=[row[0] for row in SUMMARIES]
 )
-def test_state_from_before_does_not_come_back(
+def test_outdated_summary_does_not_replace_newer(
     name: str, held: ZoneSummary, offered: ZoneSummary, verdict: str
 ) -> None:
     table = SummaryTable()
@@ -201,7 +203,7 @@
     assert table.offer(offered).value == verdict
 
 
-def test_many_senders_do_not_take_one_room_at_once() -> None:
+def test_many_senders_do_not_overload_one_zone() -> None:
     table = SummaryTable()
     table.offer(summary("b-0", 1, 0, {"b-0": 1}))
     held = table.fresh()[0]
@@ -212,11 +214,11 @@
         while spare.available(held, "m", 10, 200):
             spare.take(ZoneName("zone-b"), "m")
             taken += 1
-    # On average the room, not two hundred times the room.
+    # About the advertised room in total, not 200 times as much.
     assert 5 <= taken <= 40
 
 
-def test_refusals_end_the_growth_of_a_share() -> None:
+def test_refusal_halves_the_share() -> None:
     table = SummaryTable()
     table.offer(summary("b-0", 1, 0, {"b-0": 1}))
     held = table.fresh()[0]
@@ -231,7 +233,7 @@
     assert not spare.available(held, "m", 8, 1)
 
 
-def test_prefix_keys_grow_with_the_prompt() -> None:
+def test_prefix_keys_per_prompt_length() -> None:
     assert prefix_keys("o", "m", "x" * 100) == ()
     assert len(prefix_keys("o", "m", "x" * 1024)) == 2
     assert prefix_keys("o", "m", "x" * 1024)[0] == prefix_keys("o", "m", "x" * 300)[0]
