--- a/sparline/dispatch/__init__.py
+++ b/sparline/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Dispatch: places, attempts, retries and the one end of each request."""
+"""Dispatch: slot reservation, attempts, retries and the single final outcome of a request."""
 
 from sparline.dispatch._dispatcher import Dispatcher, DispatchParts
 from sparline.dispatch._retry_budget import RetryBudget
--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -1,4 +1,4 @@
-"""The way of one request through this instance: place, attempt, retry, outcome."""
+"""The request lifecycle at one instance: reserve a slot, attempt, retry, report the outcome."""
 
 from collections.abc import Callable, Generator
 from dataclasses import dataclass, field
@@ -41,13 +41,13 @@
 MAX_ATTEMPTS = 4
 WAIT_SLICE_MS = 100.0
 
-# After these ends another attempt makes no sense: nobody waits for its answer.
+# Not retried: the caller no longer waits for an answer.
 _FINAL_REASONS = (Reason.CALLER_GONE, Reason.DEADLINE_PASSED)
 
-# After these a backend server may have ended with the request.
+# The request may have crashed the backend server.
 _BROKEN = (Reason.BROKEN_BEFORE_ANSWER, Reason.BROKEN_IN_ANSWER)
 
-# These say something about the backend server, the others about the request.
+# Attributed to the backend server; other reasons are attributed to the request.
 _SERVER_FAULTS = (
     Reason.CONNECT_FAILED,
     Reason.BACKEND_REFUSED,
@@ -62,42 +62,42 @@
 
 @dataclass(slots=True)
 class _Progress:
-    """Hold what earlier attempts at one request left behind."""
+    """Hold the state of one request across its attempts."""
 
-    tokens_passed: int  # tokens that the caller already has
-    attempts: int = 0  # attempts begun
-    may_have_run: bool = False  # whether an attempt ended without proof
-    head_passed: bool = False  # whether the caller has the answer's head
+    tokens_passed: int  # tokens already passed to the caller
+    attempts: int = 0  # attempts started
+    may_have_run: bool = False  # whether an attempt ended without proof that it did not run
+    head_passed: bool = False  # whether the response head was passed to the caller
     excluded: set[str] = field(default_factory=set)  # backend servers and zones that failed
 
 
 @dataclass(frozen=True, slots=True)
 class DispatchParts:
-    """Hold what a dispatcher works with."""
+    """Hold the dependencies of a dispatcher."""
 
-    finder: CandidateFinder  # finds candidates
-    policy: Policy  # chooses between them
-    loads: LoadTable  # load of this zone
-    prefixes: PrefixMap  # where prompts were read
-    metrics: Metrics  # counters
-    relay: RelaySender  # sends to other zones
-    connect_timeout_ms: float  # longest wait for a connection
-    crashes: CrashTable  # backend servers that ended under requests
-    ends: ServerEnds  # whether those that broke an answer off have ended
+    finder: CandidateFinder  # finds the candidates for a request
+    policy: Policy  # chooses among the candidates
+    loads: LoadTable  # load of this zone's backend servers
+    prefixes: PrefixMap  # backend servers that have processed a prompt prefix
+    metrics: Metrics  # metrics of this instance
+    relay: RelaySender  # relays a request to another zone
+    connect_timeout_ms: float  # connect timeout at backend servers
+    crashes: CrashTable  # crashes of backend servers by request digest
+    ends: ServerEnds  # probes whether a backend server with a broken response has crashed
 
 
 class Dispatcher:
-    """Run requests; each gets exactly one end."""
+    """Run requests and give each exactly one `AnswerEnd`."""
 
     def __init__(self, parts: DispatchParts) -> None:
-        """Start with an empty waiting room."""
+        """Create a dispatcher and report its waiting requests to the load table."""
         self._parts = parts
         self._budget = RetryBudget()
         self.waiting_room = WaitingRoom(self._place_here)
         parts.loads.own_waiting = self.waiting_room.counts
 
     def run(self, request: Request, resume_from: int = 0) -> Answer:
-        """Yield the answer; the last part is its one end."""
+        """Yield the response parts; the last part is the only `AnswerEnd`."""
         progress = _Progress(tokens_passed=resume_from)
         self._budget.earn()
         while True:
@@ -109,28 +109,28 @@
             if stop is not None:
                 final = _final_end(progress, end, stop)
                 assert final.outcome is not Outcome.not_run or not progress.may_have_run, (
-                    f"request {request.request_id} would be called not run"
+                    f"request {request.request_id} would be reported as not run but may have run"
                 )
                 yield final
                 return
             self._parts.metrics.retries.labels(end.reason).inc()
 
     def _verdict(self, request: Request) -> Verdict:
-        """Return what may be done with a request; its digest is worked out only if it matters."""
+        """Return the quarantine verdict; the digest is computed only if there are known crashes."""
         if self._parts.crashes.is_empty:
             return Verdict.CLEAR
         digest = request.digest()
         return Verdict.CLEAR if digest is None else self._parts.crashes.verdict(digest)
 
     def takes_relayed(self, request: Request) -> bool:
-        """Tell whether a request from another zone may run here now."""
-        assert request.origin is Origin.RELAY, "only relayed requests are offered"
+        """Return whether a request relayed from another zone may run here now."""
+        assert request.origin is Origin.RELAY, "the request was not relayed from another zone"
         candidates = self._parts.finder.find(request)
         return self._parts.policy.takes_relayed(request, candidates)
 
     def _try_once(self, request: Request, progress: _Progress) -> Parts:
         assert request.repeatable or not progress.may_have_run, (
-            f"request {request.request_id} may not be repeated and may have run"
+            f"request {request.request_id} is not repeatable and may have run"
         )
         progress.attempts += 1
         place = self._find_place(request, frozenset(progress.excluded))
@@ -167,7 +167,7 @@
     def _decide(
         self, request: Request, excluded: frozenset[str]
     ) -> Reservation | SendAway | Refuse | WaitHere:
-        """Decide, and take the place at once so that nobody else counts on it."""
+        """Decide, and reserve the slot at once so that no other request counts on it."""
         if request.left_ms() <= 0:
             return Refuse(Reason.DEADLINE_PASSED, 0)
         candidates = self._parts.finder.find(request, excluded)
@@ -206,7 +206,7 @@
         finally:
             reservation.release()
             self.waiting_room.pump()
-        raise AssertionError("an attempt ended without an end")
+        raise AssertionError("an attempt finished without an AnswerEnd")
 
     def _note_end(
         self, request: Request, reservation: Reservation, end: AnswerEnd, progress: _Progress
@@ -225,7 +225,7 @@
                 self._parts.crashes.note_whole(digest)
 
     def _note_crash(self, request: Request, backend: BackendState, end: AnswerEnd) -> None:
-        """Count a backend server that ended while it ran a request."""
+        """Record a crash if the backend server that broke the response refuses connections."""
         digest = request.digest() if end.reason in _BROKEN else None
         if digest is None:
             return
@@ -237,9 +237,11 @@
     def _send_away(
         self, request: Request, candidate: RemoteCandidate, progress: _Progress
     ) -> Parts:
-        assert request.origin is Origin.CALLER, "a relayed request would be relayed again"
+        assert request.origin is Origin.CALLER, "a relayed request must not be relayed again"
         allowed = self._parts.finder.catalog.allowed_regions(request.residency_rule)
-        assert candidate.region in allowed, f"region {candidate.region} is not allowed"
+        assert candidate.region in allowed, (
+            f"region {candidate.region} is not allowed by the residency rule"
+        )
         self._parts.metrics.attempts.labels("away").inc()
         self._parts.metrics.sent_away.labels(candidate.region).inc()
         for part in self._parts.relay(request, candidate, progress.tokens_passed):
@@ -248,12 +250,12 @@
                     progress.excluded.add(candidate.zone)
                 return part
             yield from _pass_on(part, request, progress)
-        raise AssertionError("a relay ended without an end")
+        raise AssertionError("a relay finished without an AnswerEnd")
 
     def _reason_to_stop(
         self, request: Request, progress: _Progress, end: AnswerEnd
     ) -> Reason | None:
-        """Return why there is no further attempt, None if there is one."""
+        """Return the reason not to retry, or None to retry."""
         if (
             end.outcome is Outcome.complete
             or end.reason in (*_FINAL_REASONS, Reason.QUARANTINED)
@@ -279,7 +281,7 @@
 
 
 def _final_end(progress: _Progress, end: AnswerEnd, reason: Reason) -> AnswerEnd:
-    """Never call a request not run if an earlier attempt may have run."""
+    """Return the final end; it is unknown, not not_run, if an earlier attempt may have run."""
     if end.outcome is Outcome.not_run and progress.may_have_run:
         return unknown(reason)
     return AnswerEnd(end.outcome, reason, end.retry_after_ms)
@@ -288,7 +290,7 @@
 def _pass_on(
     part: AnswerPart, request: Request, progress: _Progress
 ) -> Generator[AnswerPart, None, None]:
-    """Pass a part on; a resumed answer has one head and each token once."""
+    """Forward a part; a resumed response has a single head and each token once."""
     if isinstance(part, AnswerHead):
         if progress.head_passed:
             return
--- a/sparline/dispatch/_retry_budget.py
+++ b/sparline/dispatch/_retry_budget.py
@@ -1,22 +1,22 @@
-"""A budget that keeps retries a small part of all requests."""
+"""A retry budget, which limits retries to a small fraction of all requests."""
 
 RETRIES_PER_REQUEST = 0.2
 LARGEST_BUDGET = 20.0
 
 
 class RetryBudget:
-    """Earn a part of a retry with each request, spend one with each retry."""
+    """Token bucket that each request fills by a fraction and each retry drains by one."""
 
     def __init__(self) -> None:
-        """Start with half of the largest budget."""
+        """Start with half of the maximum budget."""
         self._left = LARGEST_BUDGET / 2
 
     def earn(self) -> None:
-        """Count one request."""
+        """Add the share of one request."""
         self._left = min(self._left + RETRIES_PER_REQUEST, LARGEST_BUDGET)
 
     def spend(self) -> bool:
-        """Take one retry; False when the budget is used up."""
+        """Take one retry from the budget; return False if it is exhausted."""
         if self._left < 1:
             return False
         self._left -= 1
--- a/sparline/dispatch/_waiting_room.py
+++ b/sparline/dispatch/_waiting_room.py
@@ -1,4 +1,4 @@
-"""Requests that wait here for room; what waits here has provably not run."""
+"""Requests waiting for a slot; a waiting request has provably not run."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -20,16 +20,16 @@
 class Waiter:
     """Hold one waiting request."""
 
-    request: Request  # what waits
-    excluded: frozenset[str]  # backend servers tried already
-    arrived_ms: float = field(default_factory=now_ms)  # when it began to wait
-    placed: Event = field(default_factory=Event)  # set once it has a place
-    reservation: Reservation | None = None  # its place
+    request: Request  # the waiting request
+    excluded: frozenset[str]  # backend servers and zones that were already tried
+    arrived_ms: float = field(default_factory=now_ms)  # when it was queued
+    placed: Event = field(default_factory=Event)  # set once it has a reservation
+    reservation: Reservation | None = None  # the reserved slot
 
     def urgency(self) -> tuple[bool, float]:
-        """Return what goes first: short questions, then time waited and priority.
+        """Return the sort key: short requests first, then by time waited and priority.
 
-        Long work does not starve: a part of every engine's slots is kept for it.
+        Long requests do not starve: a fraction of every engine's slots is reserved for them.
         """
         waited_ms = now_ms() - self.arrived_ms
         head_start_ms = self.request.priority * PRIORITY_HEAD_START_MS
@@ -37,33 +37,33 @@
 
 
 class WaitingRoom:
-    """Give room that appears to the most urgent request that fits it."""
+    """Queue requests, and give free slots to the most urgent request that fits."""
 
     def __init__(self, place: Placer) -> None:
-        """Ask `place` for a place; it returns None where there is no room."""
+        """Reserve slots with `place`, which returns None if no slot is free."""
         self._place = place
         self._waiters: list[Waiter] = []
 
     def enter(self, request: Request, excluded: frozenset[str]) -> Waiter:
-        """Begin to wait."""
+        """Queue a request."""
         waiter = Waiter(request, excluded)
         self._waiters.append(waiter)
         return waiter
 
     def wait(self, waiter: Waiter, slice_ms: float) -> Reservation | None:
-        """Wait for a place for a short while."""
+        """Wait up to `slice_ms` for a reservation; return None if there is none yet."""
         waiter.placed.wait(slice_ms / 1000)
         if waiter.reservation is None:
             self.pump()
         return waiter.reservation
 
     def leave(self, waiter: Waiter) -> None:
-        """Stop waiting, with or without a place."""
+        """Remove a waiter, whether or not it has a reservation."""
         if waiter in self._waiters:
             self._waiters.remove(waiter)
 
     def pump(self) -> None:
-        """Place whoever can be placed, the most urgent first."""
+        """Reserve free slots for waiting requests, most urgent first."""
         full: set[tuple[str, Length]] = set()
         for waiter in sorted(self._waiters, key=Waiter.urgency, reverse=True):
             key = waiter.request.routing_key, waiter.request.length
@@ -78,7 +78,7 @@
             waiter.placed.set()
 
     def counts(self) -> list[WaitingCount]:
-        """Return how many requests wait, by target and length."""
+        """Return the number of waiting requests by target and length."""
         lengths = Counter((one.request.routing_key, one.request.length) for one in self._waiters)
         targets = sorted({target for target, _ in lengths})
         return [
@@ -87,5 +87,5 @@
         ]
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return len(self._waiters)
--- a/sparline/dispatch/tests/__init__.py
+++ b/sparline/dispatch/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this package."""
+"""Tests for dispatch."""
--- a/sparline/dispatch/tests/test_quarantine.py
+++ b/sparline/dispatch/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A request that ends each engine that runs it, at instances of two regions."""
+"""Quarantine of a request that crashes every engine it runs on, across two regions."""
 
 import gevent
 
@@ -9,7 +9,7 @@
 from standins import Engine, Faults
 
 CRASHING = "whoever reads this ends"
-# An engine that has ended is back after this long (s), and news has spread after that long (s).
+# Time until a crashed engine has restarted, and until crash reports have spread (s).
 BACK_S = 0.2
 NEWS_S = 1.0
 TRIES = 10
@@ -19,7 +19,7 @@
 
 
 class CrashingFleet(LocalFleet):
-    """Start engines again, each time as another incarnation, when they have ended."""
+    """Restart crashed engines, each time as a new incarnation."""
 
     def __init__(self) -> None:
         super().__init__(ZONES)
@@ -44,11 +44,11 @@
         self.engines[name].start()
 
     def repeat(self, number: int) -> Report:
-        """Ask as a caller who repeats: the same content, another id, instances of either region."""
+        """Retry as a caller: same content, new request id, alternating regions."""
         return self.ask(self.question("north", prompt=CRASHING), ("north", "south")[number % 2])
 
     def repeat_until_ended(self) -> None:
-        """Repeat until three engines have ended, and let the news spread."""
+        """Repeat the request until three engines have crashed, then let the reports spread."""
         for number in range(TRIES):
             if len(self.ended) >= MOST_ENDS:
                 break
@@ -58,7 +58,7 @@
         gevent.sleep(NEWS_S)
 
 
-def test_a_request_that_ends_its_engines_is_not_sent_on_and_on():
+def test_request_that_crashes_engines_is_quarantined():
     with CrashingFleet() as fleet:
         fleet.repeat_until_ended()
         before = len(fleet.ended)
@@ -66,25 +66,27 @@
             report = fleet.repeat(number)
             gevent.sleep(BACK_S)
         assert len(fleet.ended) - before <= MOST_LATER_SENDS
-        # Never called not run, and no time at which to come back.
+        # Never reported as not_run, and without a time to retry after.
         assert (report.outcome, report.reason) == ("unknown", "quarantined")
         known = [one.crashes.quarantined() for one in fleet.instances.values()]
         assert known == [1] * len(known)
         assert fleet.ask(fleet.question("north")).outcome == "complete"
 
 
-def test_an_instance_that_starts_later_does_not_send_it():
+def test_instance_started_later_does_not_send_quarantined_request():
     with CrashingFleet() as fleet:
         fleet.repeat_until_ended()
         before = len(fleet.ended)
         late = fleet.start_instance_again("zone-b-0")
-        fleet.until(lambda: late.crashes.quarantined() == 1, "the new instance has heard of it")
+        fleet.until(
+            lambda: late.crashes.quarantined() == 1, "the new instance knows of the quarantine"
+        )
         for number in range(4):
             fleet.repeat(number)
         assert len(fleet.ended) == before
 
 
-def test_a_broken_answer_of_an_engine_that_lives_is_no_end():
+def test_broken_response_of_live_engine_is_not_a_crash():
     with LocalFleet(ZONES) as fleet:
         for engine in fleet.engines.values():
             engine.faults = Faults(close_after_run=True)
@@ -93,7 +95,7 @@
         assert all(one.crashes.is_empty for one in fleet.instances.values())
 
 
-def test_only_a_body_that_was_read_names_a_request():
+def test_body_content_is_known_only_once_read():
     assert RequestBody.of(b"abc").content == b"abc"
     parts = iter([b"ab", b"c", b""])
     body = RequestBody(lambda _size: next(parts), 3)
--- a/sparline/dispatch/tests/test_waiting_room.py
+++ b/sparline/dispatch/tests/test_waiting_room.py
@@ -1,4 +1,4 @@
-"""Who waits goes in order of urgency, and long work does not starve."""
+"""Order of waiting requests, without starvation of long ones, and the retry budget."""
 
 from dataclasses import replace
 
@@ -11,12 +11,12 @@
 SHORT, LONG = Length.SHORT, Length.LONG
 
 ORDERS = [
-    # name, waiting as (length, priority), places, who gets them
-    ("first come", [(SHORT, 5), (SHORT, 5)], 1, [0]),
+    # name, waiting as (length, priority), free slots, indexes of the requests that get them
+    ("first come, first served", [(SHORT, 5), (SHORT, 5)], 1, [0]),
     ("short before long", [(LONG, 5), (SHORT, 5)], 1, [1]),
-    ("priority", [(SHORT, 5), (SHORT, 9)], 1, [1]),
-    ("priority does not lift long over short", [(LONG, 9), (SHORT, 0)], 1, [1]),
-    ("all that fit", [(LONG, 5), (SHORT, 5), (SHORT, 5)], 3, [0, 1, 2]),
+    ("higher priority first", [(SHORT, 5), (SHORT, 9)], 1, [1]),
+    ("short before long of higher priority", [(LONG, 9), (SHORT, 0)], 1, [1]),
+    ("all fit", [(LONG, 5), (SHORT, 5), (SHORT, 5)], 3, [0, 1, 2]),
 ]
 
 
@@ -42,7 +42,7 @@
     assert len(room) == len(waiting) - len(placed)
 
 
-def test_long_work_passes_short_questions_that_do_not_fit() -> None:
+def test_long_request_overtakes_short_one_without_a_slot() -> None:
     room = WaitingRoom(lambda request, _excluded: object() if request.length is LONG else None)
     short = room.enter(replace(make_request(True), length=SHORT), frozenset())
     long = room.enter(replace(make_request(True), length=LONG), frozenset())
@@ -50,14 +50,14 @@
     assert long.reservation and not short.reservation
 
 
-def test_counts_tell_what_waits() -> None:
+def test_counts_waiting_requests_by_target_and_length() -> None:
     room = WaitingRoom(lambda *_: None)
     for length in (SHORT, LONG, LONG):
         room.enter(replace(make_request(True), length=length), frozenset())
     assert [(one.target, one.short, one.long) for one in room.counts()] == [("m", 1, 2)]
 
 
-def test_retries_stay_a_small_part_of_all_requests() -> None:
+def test_retry_budget_limits_retries_to_a_fraction_of_requests() -> None:
     budget = RetryBudget()
     spent = 0
     for _ in range(1000):
