--- a/sparline/routing/_load_table.py
+++ b/sparline/routing/_load_table.py
@@ -154,7 +154,7 @@
         self._sequences: dict[InstanceId, int] = {}
 
     def refresh(self, catalog: Catalog) -> None:
-        """Apply the platform's list; known backend servers of the same incarnation keep their state."""
+        """Apply the platform's list; backend servers with an unchanged incarnation keep their state."""
         for server_id, member in catalog.backend_servers.items():
             if member.availability_zone != self._zone:
                 self._backends.pop(server_id, None)
@@ -254,7 +254,7 @@
         backend.ejected_until_ms = 0.0
 
     def own_load(self, sequence: int, read_here: Iterable[BackendServerId]) -> ZoneLoad:
-        """Build the load message for siblings; only the instance that reads a report includes it."""
+        """Build the load message for siblings, with new reports of the servers in `read_here`."""
         reading = set(read_here)
         loads = [
             BackendLoad(
--- a/sparline/routing/_policy.py
+++ b/sparline/routing/_policy.py
@@ -126,7 +126,7 @@
 
 
 def best_local(request: Request, candidates: Candidates) -> LocalCandidate | None:
-    """Return the best backend server with free capacity; prompts that share a prefix stay together."""
+    """Return the best usable backend server; prompts that share a prefix stay together."""
     usable = [one for one in candidates.local if one.verdict is Verdict.USABLE]
     if not usable:
         return None
