--- a/sparline/routing/_candidates.py
+++ b/sparline/routing/_candidates.py
@@ -10,14 +10,14 @@
 from sparline.routing._estimate import (
     LocalEstimate,
     ZoneView,
+    backend_speed,
     estimate_local,
     queue_wait_ms,
-    speed_of,
 )
 from sparline.routing._load_table import LoadTable
 from sparline.routing._prefixes import PrefixMap
 from sparline.routing._spare_room import SpareRoom
-from sparline.routing._summaries import US_PER_MS, HeldSummary, SummaryTable
+from sparline.routing._summaries import US_PER_MS, StoredSummary, SummaryTable
 from sparline.schema._declarations import Objective
 from sparline.schema._messages import InstanceState, RoomSummary, TargetSummary
 
@@ -104,51 +104,59 @@
         service = self.catalog.services.get(request.target)
         declared = model or service
         return Candidates(
-            local=self._local(request, excluded),
-            remote=self._remote(request, excluded),
+            local=self._local_candidates(request, excluded),
+            remote=self._remote_candidates(request, excluded),
             objective=declared.objective if declared else Objective.tail_latency,
             ttft_target_ms=float(model.ttft_target_ms) if model else 1000.0,
         )
 
-    def _local(self, request: Request, excluded: frozenset[str]) -> tuple[LocalCandidate, ...]:
+    def _local_candidates(
+        self, request: Request, excluded: frozenset[str]
+    ) -> tuple[LocalCandidate, ...]:
         service = self.catalog.services.get(request.target)
         backends = self._loads.serving(request)
         queue = self._loads.queue(request.routing_key)
         queue_ms = queue_wait_ms(queue, request.length, backends, service)
         zone = ZoneView(self._loads.sharers, queue, queue_ms)
-        found = []
+        candidates = []
         for backend in backends:
             member = backend.member
             cached = self._prefixes.cached_tokens(
                 request.prefix_keys, member.id, backend.incarnation
             )
             estimate = estimate_local(request, backend, service, cached, zone)
-            slots = speed_of(backend, service).slots
+            slots = backend_speed(backend, service).slots
             verdict = Verdict.USABLE if estimate.has_room else Verdict.NO_ROOM
             if member.id in excluded:
                 verdict = Verdict.EXCLUDED
             elif self._region not in self.catalog.allowed_regions(request.residency_rule):
                 verdict = Verdict.NOT_ALLOWED
             cost = self._engine_cost(self._region, estimate.total_ms, slots)
-            found.append(LocalCandidate(estimate, cost, verdict))
-        return tuple(found)
+            candidates.append(LocalCandidate(estimate, cost, verdict))
+        return tuple(candidates)
 
-    def _engine_cost(self, region: str, held_ms: float, slots: int) -> float:
-        return self.catalog.engine_price_per_hour(region) * held_ms / max(slots, 1) / MS_PER_HOUR
+    def _engine_cost(self, region: str, duration_ms: float, slots: int) -> float:
+        return (
+            self.catalog.engine_price_per_hour(region) * duration_ms / max(slots, 1) / MS_PER_HOUR
+        )
 
-    def _remote(self, request: Request, excluded: frozenset[str]) -> tuple[RemoteCandidate, ...]:
+    def _remote_candidates(
+        self, request: Request, excluded: frozenset[str]
+    ) -> tuple[RemoteCandidate, ...]:
         zones = (
-            held for held in self._summaries.fresh() if held.summary.availability_zone != self._zone
+            stored
+            for stored in self._summaries.fresh()
+            if stored.summary.availability_zone != self._zone
         )
-        return tuple(self._remote_one(request, held, excluded) for held in zones)
+        return tuple(self._remote_candidate(request, stored, excluded) for stored in zones)
 
-    def _remote_one(
-        self, request: Request, held: HeldSummary, excluded: frozenset[str]
+    def _remote_candidate(
+        self, request: Request, stored: StoredSummary, excluded: frozenset[str]
     ) -> RemoteCandidate:
-        summary = held.summary
+        summary = stored.summary
         target = next((one for one in summary.targets if one.target == request.routing_key), None)
-        ttft_ms, total_ms, cost = self._remote_figures(request, summary.region, target)
-        instance_id = self._instance_in(held)
+        ttft_ms, total_ms, cost = self._estimate_remote(request, summary.region, target)
+        instance_id = self._choose_instance(stored)
         return RemoteCandidate(
             region=summary.region,
             zone=ZoneName(summary.availability_zone),
@@ -156,42 +164,42 @@
             ttft_ms=ttft_ms,
             total_ms=total_ms,
             cost=cost,
-            verdict=self._remote_verdict(request, held, target, instance_id, excluded),
+            verdict=self._remote_verdict(request, stored, target, instance_id, excluded),
         )
 
-    def _remote_figures(
+    def _estimate_remote(
         self, request: Request, region: str, target: TargetSummary | None
     ) -> tuple[float, float, float]:
         if target is None:
             return 0.0, 0.0, 0.0
         delay_ms = self.catalog.link_delay_ms(self._region, region) + ZONE_DELAY_MS
         # A non-repeatable request waits for the peer's grant before its body is sent.
-        ways = 2 if request.repeatable else 4
+        one_way_trips = 2 if request.repeatable else 4
         prefill_ms = request.prompt_tokens * target.prompt_token_us / US_PER_MS
         ttft_ms = (
-            ways * delay_ms
+            one_way_trips * delay_ms
             + room_for(request.length, target).wait_ms
             + prefill_ms
             + target.token_interval_us / US_PER_MS
         )
         total_ms = ttft_ms + request.output_tokens * target.token_interval_us / US_PER_MS
-        sent = (
+        sent_bytes = (
             request.prompt_tokens * BYTES_PER_PROMPT_TOKEN
             + request.output_tokens * BYTES_PER_OUTPUT_TOKEN
         )
-        cost = self._engine_cost(region, total_ms - ways * delay_ms, target.slots)
-        cost += sent / BYTES_PER_GB * self.catalog.link_price_per_gb(self._region, region)
+        cost = self._engine_cost(region, total_ms - one_way_trips * delay_ms, target.slots)
+        cost += sent_bytes / BYTES_PER_GB * self.catalog.link_price_per_gb(self._region, region)
         return ttft_ms, total_ms, cost
 
     def _remote_verdict(
         self,
         request: Request,
-        held: HeldSummary,
+        stored: StoredSummary,
         target: TargetSummary | None,
         instance_id: InstanceId | None,
         excluded: frozenset[str],
     ) -> Verdict:
-        summary = held.summary
+        summary = stored.summary
         if request.origin is Origin.RELAY:
             return Verdict.RELAYED
         if summary.region not in self.catalog.allowed_regions(request.residency_rule):
@@ -202,30 +210,30 @@
             return Verdict.EXCLUDED
         if instance_id is None:
             return Verdict.NO_INSTANCE
-        senders = self._senders(summary.availability_zone)
+        senders = self._sender_count(summary.availability_zone)
         if not self._spare.available(
-            held, room_key(request), room_for(request.length, target).room, senders
+            stored, room_key(request), room_for(request.length, target).room, senders
         ):
             return Verdict.NO_SHARE
         return Verdict.USABLE
 
-    def _senders(self, zone: str) -> int:
+    def _sender_count(self, zone: str) -> int:
         """Return the number of instances that may send to a zone."""
-        elsewhere = [
+        remote_instances = [
             one for one in self.catalog.instances.values() if one.availability_zone != zone
         ]
-        return max(len(elsewhere), 1)
+        return max(len(remote_instances), 1)
 
-    def _instance_in(self, held: HeldSummary) -> InstanceId | None:
+    def _choose_instance(self, stored: StoredSummary) -> InstanceId | None:
         live = [
             one.instance_id
-            for one in held.summary.members
+            for one in stored.summary.members
             if one.state is InstanceState.live
             and one.instance_id in self.catalog.instances
             and self.reachable(InstanceId(one.instance_id))
         ]
         # The sequence number changes with every summary, which rotates through the zone's members.
-        return InstanceId(live[held.summary.sequence % len(live)]) if live else None
+        return InstanceId(live[stored.summary.sequence % len(live)]) if live else None
 
 
 def room_for(length: Length, target: TargetSummary) -> RoomSummary:
--- a/sparline/routing/_estimate.py
+++ b/sparline/routing/_estimate.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from sparline.requests import Length, Request, TargetKind
-from sparline.routing._load_table import BackendState, Queue
+from sparline.routing._load_table import BackendState, QueueDepth
 from sparline.schema._declarations import Service
 
 # Assumed for an engine before its first report.
@@ -12,7 +12,7 @@
 DEFAULT_TOKEN_INTERVAL_MS = 50.0
 # Fraction of an engine's slots that long requests leave free for short ones, and short requests
 # for waiting long ones, so that neither length class has to wait for all of the other.
-RESERVE = 0.25
+RESERVED_FRACTION = 0.25
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
     """Hold the zone-wide inputs of an estimate."""
 
     sharers: int  # live instances of the zone, which share its backend servers
-    queue: Queue  # requests waiting in the zone for the same target
+    queue: QueueDepth  # requests waiting in the zone for the same target
     queue_ms: float  # estimated time until the requests ahead have a slot
 
 
@@ -45,7 +45,7 @@
     has_room: bool  # whether the request may take a slot now
 
 
-def speed_of(backend: BackendState, service: Service | None) -> BackendSpeed:
+def backend_speed(backend: BackendState, service: Service | None) -> BackendSpeed:
     """Return the speed from the newest report, or from the declaration of a service."""
     if service is not None:
         return BackendSpeed(service.concurrent_calls, 0.0, 0.0)
@@ -59,9 +59,9 @@
     )
 
 
-def reserve_of(slots: int) -> int:
+def reserved_slots(slots: int) -> int:
     """Return the number of slots that each length class leaves to the other."""
-    return max(1, int(slots * RESERVE)) if slots > 1 else 0
+    return max(1, int(slots * RESERVED_FRACTION)) if slots > 1 else 0
 
 
 def has_room(request: Request, backend: BackendState, slots: int, zone: ZoneView) -> bool:
@@ -74,27 +74,29 @@
     """
     if request.kind is TargetKind.SERVICE:
         return backend.in_flight < slots or backend.own_in_flight < max(slots // zone.sharers, 1)
-    reserve = reserve_of(slots)
+    reserve = reserved_slots(slots)
     if request.length is Length.LONG:
         free = backend.in_flight < slots and backend.long_in_flight < slots - reserve
         return (free and not zone.queue.short) or backend.long_in_flight < reserve
-    kept = max(reserve - backend.long_in_flight, 0) if zone.queue.long else 0
+    reserved = max(reserve - backend.long_in_flight, 0) if zone.queue.long else 0
     own_short = backend.own_in_flight - backend.own_long
-    return backend.in_flight < slots - kept or own_short < max((slots - kept) // zone.sharers, 1)
+    return backend.in_flight < slots - reserved or own_short < max(
+        (slots - reserved) // zone.sharers, 1
+    )
 
 
 def backend_wait_ms(backend: BackendState, speed: BackendSpeed) -> float:
     """Return the wait for a slot and for earlier prefills at one backend server."""
-    too_many = max(backend.in_flight - speed.slots + 1, 0)
-    slot_wait_ms = too_many * backend.hold_ms / speed.slots
+    excess = max(backend.in_flight - speed.slots + 1, 0)
+    slot_wait_ms = excess * backend.hold_ms / speed.slots
     return slot_wait_ms + backend.waiting_tokens * speed.ms_per_prompt_token
 
 
 def queue_wait_ms(
-    queue: Queue, length: Length, backends: list[BackendState], service: Service | None
+    queue: QueueDepth, length: Length, backends: list[BackendState], service: Service | None
 ) -> float:
     """Return the time until the queued requests that are placed first have a slot."""
-    slots = sum(speed_of(backend, service).slots for backend in backends)
+    slots = sum(backend_speed(backend, service).slots for backend in backends)
     if not slots:
         return 0.0
     work_ms = queue.short * sum(one.short_hold_ms for one in backends) / len(backends)
@@ -111,11 +113,11 @@
     zone: ZoneView,
 ) -> LocalEstimate:
     """Estimate wait and latency of one request at one backend server."""
-    speed = speed_of(backend, service)
+    speed = backend_speed(backend, service)
     room = has_room(request, backend, speed.slots, zone)
     wait_ms = backend_wait_ms(backend, speed) + (0.0 if room else zone.queue_ms)
-    fresh_tokens = max(request.prompt_tokens - cached_tokens, 1)
-    prefill_ms = fresh_tokens * speed.ms_per_prompt_token
+    uncached_tokens = max(request.prompt_tokens - cached_tokens, 1)
+    prefill_ms = uncached_tokens * speed.ms_per_prompt_token
     if request.kind is TargetKind.SERVICE:
         prefill_ms = float(service.typical_call_ms) if service else 0.0
     ttft_ms = wait_ms + prefill_ms + speed.token_interval_ms
--- a/sparline/routing/_load_table.py
+++ b/sparline/routing/_load_table.py
@@ -12,20 +12,20 @@
 from sparline.schema._messages import BackendLoad, EngineReport, WaitingCount, ZoneLoad
 
 # Ejection time of a backend server after a failure, doubled at each further failure in a row.
-EJECT_FIRST_MS = 500.0
-EJECT_LONGEST_MS = 8_000.0
+MIN_EJECTION_MS = 500.0
+MAX_EJECTION_MS = 8_000.0
 # Load reported by a sibling instance expires after this time.
 SIBLING_LOAD_TTL_MS = 3_000.0
 # An older report no longer proves that the engine still has a model loaded.
 REPORT_TTL_MS = 10_000.0
-HOLD_TIME_WEIGHT = 0.2  # of the newest sample in the moving average of slot hold times
+HOLD_TIME_EWMA_WEIGHT = 0.2  # of the newest sample in the moving average of slot hold times
 # Initial slot hold times, before the first requests have ended.
 DEFAULT_SHORT_HOLD_MS = 200.0
 DEFAULT_LONG_HOLD_MS = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Queue:
+class QueueDepth:
     """Count the requests that wait for one target in the zone."""
 
     short: int  # short requests, which are placed first
@@ -52,8 +52,8 @@
 
     def fresh_siblings(self) -> Iterable[BackendLoad]:
         """Return the unexpired load reports of sibling instances."""
-        horizon_ms = now_ms() - SIBLING_LOAD_TTL_MS
-        return (load for at_ms, load in self.siblings.values() if at_ms > horizon_ms)
+        expired_before_ms = now_ms() - SIBLING_LOAD_TTL_MS
+        return (load for at_ms, load in self.siblings.values() if at_ms > expired_before_ms)
 
     @property
     def incarnation(self) -> str:
@@ -109,22 +109,22 @@
 class Reservation:
     """Reserve a slot for one request at one backend server."""
 
-    __slots__ = ("_began_ms", "_request", "_waits", "backend")
+    __slots__ = ("_started_ms", "_request", "_awaits_first_token", "backend")
 
     def __init__(self, backend: BackendState, request: Request) -> None:
         """Count the request in the load of the backend server."""
         self.backend = backend
         self._request = request
-        self._began_ms = now_ms()
-        self._waits = True
+        self._started_ms = now_ms()
+        self._awaits_first_token = True
         backend.own_in_flight += 1
         backend.own_tokens += request.prompt_tokens
         backend.own_long += request.length is Length.LONG
 
     def first_token(self) -> None:
         """Record that prefill has ended; later calls do nothing."""
-        if self._waits:
-            self._waits = False
+        if self._awaits_first_token:
+            self._awaits_first_token = False
             self.backend.own_tokens -= self._request.prompt_tokens
 
     def release(self) -> None:
@@ -134,11 +134,11 @@
         backend.own_in_flight -= 1
         backend.own_long -= self._request.length is Length.LONG
         assert backend.own_in_flight >= 0, "a reservation was released twice"
-        held_ms = now_ms() - self._began_ms
+        held_ms = now_ms() - self._started_ms
         if self._request.length is Length.LONG:
-            backend.long_hold_ms += HOLD_TIME_WEIGHT * (held_ms - backend.long_hold_ms)
+            backend.long_hold_ms += HOLD_TIME_EWMA_WEIGHT * (held_ms - backend.long_hold_ms)
         else:
-            backend.short_hold_ms += HOLD_TIME_WEIGHT * (held_ms - backend.short_hold_ms)
+            backend.short_hold_ms += HOLD_TIME_EWMA_WEIGHT * (held_ms - backend.short_hold_ms)
 
 
 class LoadTable:
@@ -154,7 +154,7 @@
         self._sequences: dict[InstanceId, int] = {}
 
     def refresh(self, catalog: Catalog) -> None:
-        """Apply the platform's list; backend servers with an unchanged incarnation keep their state."""
+        """Apply the platform's list; a backend server of unchanged incarnation keeps its state."""
         for server_id, member in catalog.backend_servers.items():
             if member.availability_zone != self._zone:
                 self._backends.pop(server_id, None)
@@ -210,13 +210,13 @@
         if load.sequence <= self._sequences.get(instance_id, -1):
             return
         self._sequences[instance_id] = load.sequence
-        heard_at_ms = now_ms()
-        self._waiting[instance_id] = (heard_at_ms, load.waiting)
+        received_at_ms = now_ms()
+        self._waiting[instance_id] = (received_at_ms, load.waiting)
         for one in load.backend_servers:
             backend = self._backends.get(BackendServerId(one.backend_server))
             if backend is None:
                 continue
-            backend.siblings[instance_id] = (heard_at_ms, one)
+            backend.siblings[instance_id] = (received_at_ms, one)
             if one.report is not None:
                 self.note_report(BackendServerId(one.backend_server), one.report)
 
@@ -227,19 +227,19 @@
         for backend in self._backends.values():
             backend.siblings.pop(instance_id, None)
 
-    def queue(self, target: str) -> Queue:
+    def queue(self, target: str) -> QueueDepth:
         """Count the requests for a target that wait at this instance and its siblings."""
-        horizon_ms = now_ms() - SIBLING_LOAD_TTL_MS
-        told = [counts for at_ms, counts in self._waiting.values() if at_ms > horizon_ms]
-        counts = [one for each in (self.own_waiting(), *told) for one in each]
-        mine = [one for one in counts if one.target == target]
-        return Queue(sum(one.short for one in mine), sum(one.long for one in mine))
+        expired_before_ms = now_ms() - SIBLING_LOAD_TTL_MS
+        reported = [counts for at_ms, counts in self._waiting.values() if at_ms > expired_before_ms]
+        counts = [one for each in (self.own_waiting(), *reported) for one in each]
+        matching = [one for one in counts if one.target == target]
+        return QueueDepth(sum(one.short for one in matching), sum(one.long for one in matching))
 
     def note_failure(self, backend: BackendState) -> None:
         """Eject a failing backend server with exponential backoff."""
         backend.failures += 1
-        pause_ms = doubled_ms(EJECT_FIRST_MS, EJECT_LONGEST_MS, backend.failures)
-        backend.ejected_until_ms = now_ms() + pause_ms
+        ejection_ms = doubled_ms(MIN_EJECTION_MS, MAX_EJECTION_MS, backend.failures)
+        backend.ejected_until_ms = now_ms() + ejection_ms
 
     def note_unreachable(self, backend: BackendState) -> None:
         """Eject an engine until its next load report, and a plain service for a backoff time."""
@@ -262,10 +262,11 @@
                 in_flight=backend.own_in_flight,
                 in_flight_tokens=backend.own_tokens,
                 long_in_flight=backend.own_long,
-                report=_news(backend) if backend.member.id in reading else None,
+                report=_unsent_report(backend) if backend.member.id in reading else None,
             )
             for backend in self._backends.values()
-            if backend.own_in_flight or (backend.member.id in reading and _has_news(backend))
+            if backend.own_in_flight
+            or (backend.member.id in reading and _has_unsent_report(backend))
         ]
         for backend in self._backends.values():
             backend.told_at_ms = backend.report_at_ms
@@ -278,13 +279,13 @@
     return backend.member.role is FleetRole.engine and backend.holds(target, adapter)
 
 
-def _has_news(backend: BackendState) -> bool:
+def _has_unsent_report(backend: BackendState) -> bool:
     return backend.report is not None and backend.report_at_ms > backend.told_at_ms
 
 
-def _news(backend: BackendState) -> EngineReport | None:
+def _unsent_report(backend: BackendState) -> EngineReport | None:
     """Return the report with its current age, or None if siblings already have it."""
-    if backend.report is None or not _has_news(backend):
+    if backend.report is None or not _has_unsent_report(backend):
         return None
     report = backend.report
     return EngineReport(
--- a/sparline/routing/_prefixes.py
+++ b/sparline/routing/_prefixes.py
@@ -9,7 +9,7 @@
 CHARS_PER_TOKEN = 4
 # Prefix lengths that are hashed, in characters.
 PREFIX_LENGTHS = (256, 1024, 4096, 16_384)
-MAX_KEYS = 20_000
+MAX_PREFIXES = 20_000
 
 
 def prefix_keys(organisation: str, target: str, prompt: str) -> tuple[int, ...]:
@@ -31,23 +31,23 @@
 
     def __init__(self) -> None:
         """Create an empty map."""
-        self._seen: OrderedDict[int, dict[BackendServerId, str]] = OrderedDict()
+        self._servers_by_prefix: OrderedDict[int, dict[BackendServerId, str]] = OrderedDict()
 
     def note(self, keys: tuple[int, ...], server_id: BackendServerId, incarnation: str) -> None:
         """Record that one incarnation of a backend server has processed a prompt."""
         for key in keys:
-            self._seen.setdefault(key, {})[server_id] = incarnation
-            self._seen.move_to_end(key)
-        while len(self._seen) > MAX_KEYS:
-            self._seen.popitem(last=False)
+            self._servers_by_prefix.setdefault(key, {})[server_id] = incarnation
+            self._servers_by_prefix.move_to_end(key)
+        while len(self._servers_by_prefix) > MAX_PREFIXES:
+            self._servers_by_prefix.popitem(last=False)
 
     def cached_tokens(
         self, keys: tuple[int, ...], server_id: BackendServerId, incarnation: str
     ) -> int:
         """Return the number of prompt tokens that a backend server probably has cached."""
-        known = 0
+        cached = 0
         for length, key in zip(PREFIX_LENGTHS, keys, strict=False):
-            if self._seen.get(key, {}).get(server_id) != incarnation:
+            if self._servers_by_prefix.get(key, {}).get(server_id) != incarnation:
                 break
-            known = length // CHARS_PER_TOKEN
-        return known
+            cached = length // CHARS_PER_TOKEN
+        return cached
--- a/sparline/routing/_spare_room.py
+++ b/sparline/routing/_spare_room.py
@@ -6,23 +6,23 @@
 from sparline._backoff import doubled_ms
 from sparline._clock import now_ms
 from sparline._ids import ZoneName
-from sparline.routing._summaries import HeldSummary
+from sparline.routing._summaries import StoredSummary
 
 # Backoff for a zone after a refusal, doubled at each consecutive refusal.
-BACKOFF_FIRST_MS = 250.0
-BACKOFF_LONGEST_MS = 4_000.0
+MIN_BACKOFF_MS = 250.0
+MAX_BACKOFF_MS = 4_000.0
 # Fraction of a share that is kept when a new summary arrives, and the increase per accepted
 # request. A sender with demand thereby gets a larger share, until the receiver refuses.
-KEPT_SHARE = 0.8
-GROWTH = 1.0
+SHARE_DECAY = 0.8
+SHARE_INCREMENT = 1.0
 # Senders rarely need capacity all at once, so shares are overbooked; the receiver may refuse.
-OVERBOOKED = 2.0
+OVERBOOKING_FACTOR = 2.0
 # Slow start: time over which the share of a newly seen zone ramps up.
-RAMP_MS = 5_000.0
+SLOW_START_MS = 5_000.0
 
 
 @dataclass(slots=True)
-class _Use:
+class _ShareUse:
     """Hold this instance's use of one zone's capacity for one target."""
 
     sequence: tuple[str, int] = ("", -1)  # reporter and sequence of the summary behind the limit
@@ -30,7 +30,7 @@
     room: int = 0  # free capacity according to the summary
     outstanding: int = 0  # requests from this instance in the zone
     refusals: int = 0  # consecutive refusals
-    closed_until_ms: float = 0.0  # no requests are sent before this time
+    backoff_until_ms: float = 0.0  # no requests are sent before this time
 
 
 class SpareRoom:
@@ -38,13 +38,13 @@
 
     def __init__(self, chance: random.Random) -> None:
         """Create a table without outstanding requests."""
-        self._chance = chance
-        self._uses: dict[tuple[ZoneName, str], _Use] = {}
+        self._random = chance
+        self._uses: dict[tuple[ZoneName, str], _ShareUse] = {}
 
-    def available(self, held: HeldSummary, target: str, room: int, senders: int) -> bool:
+    def available(self, stored: StoredSummary, target: str, room: int, senders: int) -> bool:
         """Return whether one more request may be sent to a zone."""
-        use = self._use(held, target, room, senders)
-        return use.outstanding < use.limit and now_ms() >= use.closed_until_ms
+        use = self._use(stored, target, room, senders)
+        return use.outstanding < use.limit and now_ms() >= use.backoff_until_ms
 
     def take(self, zone: ZoneName, target: str) -> None:
         """Count one outstanding request."""
@@ -58,33 +58,33 @@
 
     def refused(self, zone: ZoneName, target: str) -> None:
         """Back off from a zone that refused a request, and halve the limit."""
-        use = self._uses.setdefault((zone, target), _Use())
+        use = self._uses.setdefault((zone, target), _ShareUse())
         use.refusals += 1
         use.limit /= 2
-        pause_ms = doubled_ms(BACKOFF_FIRST_MS, BACKOFF_LONGEST_MS, use.refusals)
-        use.closed_until_ms = now_ms() + pause_ms * self._chance.uniform(0.75, 1.25)
+        backoff_ms = doubled_ms(MIN_BACKOFF_MS, MAX_BACKOFF_MS, use.refusals)
+        use.backoff_until_ms = now_ms() + backoff_ms * self._random.uniform(0.75, 1.25)
 
     def accepted(self, zone: ZoneName, target: str) -> None:
         """Reset the refusal count and increase the limit."""
-        use = self._uses.setdefault((zone, target), _Use())
+        use = self._uses.setdefault((zone, target), _ShareUse())
         use.refusals = 0
-        use.limit = min(use.limit + GROWTH, use.outstanding + use.room)
+        use.limit = min(use.limit + SHARE_INCREMENT, use.outstanding + use.room)
 
-    def _use(self, held: HeldSummary, target: str, room: int, senders: int) -> _Use:
-        summary = held.summary
+    def _use(self, stored: StoredSummary, target: str, room: int, senders: int) -> _ShareUse:
+        summary = stored.summary
         zone = ZoneName(summary.availability_zone)
-        use = self._uses.setdefault((zone, target), _Use())
+        use = self._uses.setdefault((zone, target), _ShareUse())
         current = (f"{summary.reporter}/{summary.reporter_incarnation}", summary.sequence)
         if use.sequence != current:
             use.sequence = current
             use.room = room
             # The advertised room excludes the requests that already run there.
-            share = use.outstanding + self._share(held, room, senders)
-            use.limit = min(max(use.limit * KEPT_SHARE, share), use.outstanding + room)
+            share = use.outstanding + self._share(stored, room, senders)
+            use.limit = min(max(use.limit * SHARE_DECAY, share), use.outstanding + room)
         return use
 
-    def _share(self, held: HeldSummary, room: int, senders: int) -> int:
-        ramp = min((now_ms() - held.first_seen_ms) / RAMP_MS + 0.1, 1.0)
-        exact = room * ramp * OVERBOOKED / max(senders, 1)
+    def _share(self, stored: StoredSummary, room: int, senders: int) -> int:
+        ramp = min((now_ms() - stored.first_seen_ms) / SLOW_START_MS + 0.1, 1.0)
+        exact = room * ramp * OVERBOOKING_FACTOR / max(senders, 1)
         whole = int(exact)
-        return whole + (self._chance.random() < exact - whole)
+        return whole + (self._random.random() < exact - whole)
--- a/sparline/routing/_summaries.py
+++ b/sparline/routing/_summaries.py
@@ -10,8 +10,8 @@
 from sparline._ids import InstanceId, TargetName, ZoneName
 from sparline.declarations import Catalog
 from sparline.requests import Length, TargetKind
-from sparline.routing._estimate import backend_wait_ms, queue_wait_ms, reserve_of, speed_of
-from sparline.routing._load_table import BackendState, LoadTable, Queue
+from sparline.routing._estimate import backend_speed, backend_wait_ms, queue_wait_ms, reserved_slots
+from sparline.routing._load_table import BackendState, LoadTable, QueueDepth
 from sparline.schema._declarations import Service
 from sparline.schema._messages import (
     InstanceState,
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldSummary:
+class StoredSummary:
     """Hold a received summary with the times that it was made and received."""
 
     summary: ZoneSummary  # the summary as received
@@ -53,9 +53,9 @@
         return now_ms() - self.made_at_ms
 
 
-def aged(summary: ZoneSummary, by_ms: float) -> ZoneSummary:
+def aged(summary: ZoneSummary, elapsed_ms: float) -> ZoneSummary:
     """Return a copy whose age is increased, for forwarding."""
-    return msgspec.structs.replace(summary, age_ms=int(summary.age_ms + by_ms))
+    return msgspec.structs.replace(summary, age_ms=int(summary.age_ms + elapsed_ms))
 
 
 class SummaryTable:
@@ -63,56 +63,58 @@
 
     def __init__(self) -> None:
         """Create an empty table."""
-        self._held: dict[ZoneName, HeldSummary] = {}
+        self._stored: dict[ZoneName, StoredSummary] = {}
 
     def offer(self, summary: ZoneSummary) -> SummaryVerdict:
         """Store a summary unless the stored one is newer."""
         zone = ZoneName(summary.availability_zone)
         made_at_ms = now_ms() - summary.age_ms
-        held = self._held.get(zone)
-        if held is not None and held.age_ms() < SUMMARY_TTL_MS:
-            verdict = _compare(summary, held, made_at_ms)
+        stored = self._stored.get(zone)
+        if stored is not None and stored.age_ms() < SUMMARY_TTL_MS:
+            verdict = _compare(summary, stored, made_at_ms)
             if verdict is not SummaryVerdict.NEWER:
                 return verdict
         elif summary.age_ms > SUMMARY_TTL_MS:
             return SummaryVerdict.OLD_AGE
         first_seen_ms = (
-            now_ms() if held is None or held.age_ms() > SUMMARY_TTL_MS else held.first_seen_ms
+            now_ms() if stored is None or stored.age_ms() > SUMMARY_TTL_MS else stored.first_seen_ms
         )
-        self._held[zone] = HeldSummary(summary, made_at_ms, now_ms(), first_seen_ms)
+        self._stored[zone] = StoredSummary(summary, made_at_ms, now_ms(), first_seen_ms)
         return SummaryVerdict.NEWER
 
-    def fresh(self) -> list[HeldSummary]:
+    def fresh(self) -> list[StoredSummary]:
         """Return the summaries that have not expired."""
-        return [held for held in self._held.values() if held.age_ms() < SUMMARY_TTL_MS]
+        return [stored for stored in self._stored.values() if stored.age_ms() < SUMMARY_TTL_MS]
 
-    def get(self, zone: ZoneName) -> HeldSummary | None:
+    def get(self, zone: ZoneName) -> StoredSummary | None:
         """Return the summary of one zone, or None if there is none or it has expired."""
-        held = self._held.get(zone)
-        return held if held and held.age_ms() < SUMMARY_TTL_MS else None
+        stored = self._stored.get(zone)
+        return stored if stored and stored.age_ms() < SUMMARY_TTL_MS else None
 
 
-def _compare(summary: ZoneSummary, held: HeldSummary, made_at_ms: float) -> SummaryVerdict:
-    before = held.summary
-    same_source = (summary.reporter, summary.reporter_incarnation) == (
-        before.reporter,
-        before.reporter_incarnation,
+def _compare(summary: ZoneSummary, stored: StoredSummary, made_at_ms: float) -> SummaryVerdict:
+    previous = stored.summary
+    same_reporter = (summary.reporter, summary.reporter_incarnation) == (
+        previous.reporter,
+        previous.reporter_incarnation,
     )
-    if same_source:
+    if same_reporter:
         return (
             SummaryVerdict.NEWER
-            if summary.sequence > before.sequence
+            if summary.sequence > previous.sequence
             else SummaryVerdict.OLD_SEQUENCE
         )
     # A different reporter must have seen the previous reporter's latest uptime, or have dropped
     # that instance from its members; otherwise its view of the zone is out of date.
-    last = {(one.instance_id, one.incarnation): one.uptime_ms for one in before.members}
+    previous_uptimes_ms = {
+        (one.instance_id, one.incarnation): one.uptime_ms for one in previous.members
+    }
     for member in summary.members:
-        if member.instance_id == before.reporter and member.uptime_ms < last.get(
+        if member.instance_id == previous.reporter and member.uptime_ms < previous_uptimes_ms.get(
             (member.instance_id, member.incarnation), 0
         ):
             return SummaryVerdict.OLD_MEMBERS
-    return SummaryVerdict.NEWER if made_at_ms > held.made_at_ms else SummaryVerdict.OLD_AGE
+    return SummaryVerdict.NEWER if made_at_ms > stored.made_at_ms else SummaryVerdict.OLD_AGE
 
 
 @dataclass(frozen=True, slots=True)
@@ -150,66 +152,66 @@
 
 def _model_targets(name: TargetName, table: LoadTable, catalog: Catalog) -> list[TargetSummary]:
     adapters = ["", *(adapter.name for adapter in catalog.models[name].adapters)]
-    found = []
+    summaries = []
     for adapter in adapters:
         backends = table.holders(TargetKind.ENGINE, name, adapter)
         key = f"{name}+{adapter}" if adapter else name
         if backends:
-            found.append(_sum_up(key, name, backends, table, catalog))
-    return found
+            summaries.append(_summarise_target(key, name, backends, table, catalog))
+    return summaries
 
 
 def _service_targets(name: TargetName, table: LoadTable, catalog: Catalog) -> list[TargetSummary]:
     backends = table.holders(TargetKind.SERVICE, name)
-    return [_sum_up(name, name, backends, table, catalog)] if backends else []
+    return [_summarise_target(name, name, backends, table, catalog)] if backends else []
 
 
 def wait_for_target(
-    backends: list[BackendState], service: Service | None, queue: Queue, length: Length
+    backends: list[BackendState], service: Service | None, queue: QueueDepth, length: Length
 ) -> float:
     """Return the shortest wait before prefill, or `NO_BACKEND_WAIT_MS` without backend servers."""
     queue_ms = queue_wait_ms(queue, length, backends, service)
-    waits = [backend_wait_ms(one, speed_of(one, service)) + queue_ms for one in backends]
+    waits = [backend_wait_ms(one, backend_speed(one, service)) + queue_ms for one in backends]
     return min(waits, default=NO_BACKEND_WAIT_MS)
 
 
-def _sum_up(
+def _summarise_target(
     key: str, name: TargetName, backends: list[BackendState], table: LoadTable, catalog: Catalog
 ) -> TargetSummary:
     service = catalog.services.get(name)
     working = [backend for backend in backends if backend.takes_work]
-    speeds = [speed_of(backend, service) for backend in working]
+    speeds = [backend_speed(backend, service) for backend in working]
     queue = table.queue(key)
     return TargetSummary(
         target=key,
         versions=sorted({version for backend in working for version in backend.versions(name)}),
         slots=sum(speed.slots for speed in speeds),
-        short=_room(working, service, queue, Length.SHORT),
-        long=_room(working, service, queue, Length.LONG),
-        prompt_token_us=_least_us(speed.ms_per_prompt_token for speed in speeds),
-        token_interval_us=_least_us(speed.token_interval_ms for speed in speeds),
+        short=_room_summary(working, service, queue, Length.SHORT),
+        long=_room_summary(working, service, queue, Length.LONG),
+        prompt_token_us=_min_us(speed.ms_per_prompt_token for speed in speeds),
+        token_interval_us=_min_us(speed.token_interval_ms for speed in speeds),
     )
 
 
-def _least_us(values_ms: Iterable[float]) -> int:
+def _min_us(values_ms: Iterable[float]) -> int:
     return round(min(values_ms, default=0.0) * US_PER_MS)
 
 
-def _room(
-    backends: list[BackendState], service: Service | None, queue: Queue, length: Length
+def _room_summary(
+    backends: list[BackendState], service: Service | None, queue: QueueDepth, length: Length
 ) -> RoomSummary:
     """Return how many relayed requests fit before their wait exceeds `ROOM_WAIT_MS`."""
     queue_ms = queue_wait_ms(queue, length, backends, service)
-    rooms = [_room_at(backend, service, queue_ms, length) for backend in backends]
+    rooms = [_backend_room(backend, service, queue_ms, length) for backend in backends]
     wait_ms = wait_for_target(backends, service, queue, length)
     return RoomSummary(room=int(sum(rooms)), wait_ms=int(wait_ms))
 
 
-def _room_at(
+def _backend_room(
     backend: BackendState, service: Service | None, queue_ms: float, length: Length
 ) -> float:
-    speed = speed_of(backend, service)
-    free = max(speed.slots - reserve_of(speed.slots) - backend.in_flight, 0)
-    patience_ms = max(ROOM_WAIT_MS - backend_wait_ms(backend, speed) - queue_ms, 0)
+    speed = backend_speed(backend, service)
+    free = max(speed.slots - reserved_slots(speed.slots) - backend.in_flight, 0)
+    remaining_wait_ms = max(ROOM_WAIT_MS - backend_wait_ms(backend, speed) - queue_ms, 0)
     hold_ms = backend.long_hold_ms if length is Length.LONG else backend.short_hold_ms
-    return (0 if queue_ms else free) + speed.slots * patience_ms / max(hold_ms, 1.0)
+    return (0 if queue_ms else free) + speed.slots * remaining_wait_ms / max(hold_ms, 1.0)
--- a/sparline/routing/tests/test_policy.py
+++ b/sparline/routing/tests/test_policy.py
@@ -24,7 +24,7 @@
     prefix_keys,
 )
 from sparline.routing._estimate import LocalEstimate, ZoneView, has_room
-from sparline.routing._load_table import Queue
+from sparline.routing._load_table import QueueDepth
 from sparline.routing._summaries import SummaryTable, SummaryVerdict
 from sparline.schema._declarations import Objective
 from sparline.schema._fleet import FleetMember
@@ -86,28 +86,35 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "here", "away", "objective", "deadline_ms", "wanted"),
+    ("name", "local_candidates", "remote_candidates", "objective", "deadline_ms", "wanted"),
     DECISIONS,
     ids=[row[0] for row in DECISIONS],
 )
 def test_decision(
-    name: str, here: list, away: list, objective: Objective, deadline_ms: float, wanted: type
+    name: str,
+    local_candidates: list,
+    remote_candidates: list,
+    objective: Objective,
+    deadline_ms: float,
+    wanted: type,
 ) -> None:
     request = make_request(repeatable=True, deadline_ms=deadline_ms)
     decision = EstimatePolicy().decide(
-        request, Candidates(tuple(here), tuple(away), objective, 310)
+        request, Candidates(tuple(local_candidates), tuple(remote_candidates), objective, 310)
     )
     assert isinstance(decision, wanted), decision
     assert not isinstance(decision, Refuse) or decision.retry_after_ms >= 100
 
 
 def test_cost_objective_chooses_the_cheaper_zone() -> None:
-    away = (remote(40, zone="dear", cost=2.0), remote(60, zone="cheap", cost=1.0))
-    decision = EstimatePolicy().decide(make_request(True), Candidates((), away, COST, 310))
+    remote_candidates = (remote(40, zone="dear", cost=2.0), remote(60, zone="cheap", cost=1.0))
+    decision = EstimatePolicy().decide(
+        make_request(True), Candidates((), remote_candidates, COST, 310)
+    )
     assert decision.candidate.zone == "cheap"
 
 
-TAKES = [
+RELAYED = [
     # name, local candidates, whether a relayed request is accepted
     ("free slot", [local(0)], True),
     ("short wait", [local(150, NO_ROOM)], True),
@@ -116,12 +123,17 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "here", "taken"), TAKES, ids=[row[0] for row in TAKES])
+@pytest.mark.parametrize(
+    ("name", "local_candidates", "taken"), RELAYED, ids=[row[0] for row in RELAYED]
+)
 def test_receiving_zone_accepts_or_refuses_relayed_request(
-    name: str, here: list, taken: bool
+    name: str, local_candidates: list, taken: bool
 ) -> None:
     request = replace(make_request(True, 2000), origin=Origin.RELAY)
-    assert EstimatePolicy().takes_relayed(request, Candidates(tuple(here), (), TAIL, 310)) is taken
+    assert (
+        EstimatePolicy().takes_relayed(request, Candidates(tuple(local_candidates), (), TAIL, 310))
+        is taken
+    )
 
 
 AFFINITY = [
@@ -131,24 +143,28 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "here", "chosen"), AFFINITY, ids=[row[0] for row in AFFINITY])
-def test_prompts_with_a_shared_prefix_stay_together(name: str, here: list, chosen: str) -> None:
+@pytest.mark.parametrize(
+    ("name", "local_candidates", "chosen"), AFFINITY, ids=[row[0] for row in AFFINITY]
+)
+def test_prompts_with_a_shared_prefix_stay_together(
+    name: str, local_candidates: list, chosen: str
+) -> None:
     request = replace(make_request(True), prefix_keys=(1,))
-    best = best_local(request, Candidates(tuple(here), (), TAIL, 310))
+    best = best_local(request, Candidates(tuple(local_candidates), (), TAIL, 310))
     assert best.estimate.backend.member.id == chosen
 
 
 ROOM = [
     # name, length, in flight, long ones of these, siblings' in flight, queue, room in 4 slots for 2 instances
-    ("empty", Length.SHORT, 0, 0, 0, Queue(0, 0), True),
-    ("filled by siblings, own share free", Length.SHORT, 1, 0, 4, Queue(0, 0), True),
-    ("filled by siblings, own share used", Length.SHORT, 2, 0, 4, Queue(0, 0), False),
-    ("last slot reserved for a waiting long request", Length.SHORT, 3, 0, 0, Queue(0, 1), False),
-    ("no slot reserved while a long request runs", Length.SHORT, 3, 1, 0, Queue(0, 1), True),
-    ("long request, empty engine", Length.LONG, 0, 0, 0, Queue(0, 0), True),
-    ("long requests leave a slot free", Length.LONG, 3, 3, 0, Queue(0, 0), False),
-    ("long request waits for short ones", Length.LONG, 2, 1, 0, Queue(1, 0), False),
-    ("long request in the slot reserved for it", Length.LONG, 3, 0, 0, Queue(1, 0), True),
+    ("empty", Length.SHORT, 0, 0, 0, QueueDepth(0, 0), True),
+    ("filled by siblings, own share free", Length.SHORT, 1, 0, 4, QueueDepth(0, 0), True),
+    ("filled by siblings, own share used", Length.SHORT, 2, 0, 4, QueueDepth(0, 0), False),
+    ("last slot reserved for a waiting long request", Length.SHORT, 3, 0, 0, QueueDepth(0, 1), False),
+    ("no slot reserved while a long request runs", Length.SHORT, 3, 1, 0, QueueDepth(0, 1), True),
+    ("long request, empty engine", Length.LONG, 0, 0, 0, QueueDepth(0, 0), True),
+    ("long requests leave a slot free", Length.LONG, 3, 3, 0, QueueDepth(0, 0), False),
+    ("long request waits for short ones", Length.LONG, 2, 1, 0, QueueDepth(1, 0), False),
+    ("long request in the slot reserved for it", Length.LONG, 3, 0, 0, QueueDepth(1, 0), True),
 ]  # fmt: skip
 
 
@@ -158,7 +174,7 @@
     ids=[row[0] for row in ROOM],
 )
 def test_room(
-    name: str, length: Length, own: int, own_long: int, others: int, queue: Queue, room: bool
+    name: str, length: Length, own: int, own_long: int, others: int, queue: QueueDepth, room: bool
 ) -> None:
     state = backend()
     state.own_in_flight, state.own_long = own, own_long
@@ -193,25 +209,25 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "held", "offered", "verdict"), SUMMARIES, ids=[row[0] for row in SUMMARIES]
+    ("name", "stored", "received", "verdict"), SUMMARIES, ids=[row[0] for row in SUMMARIES]
 )
 def test_outdated_summary_does_not_replace_newer(
-    name: str, held: ZoneSummary, offered: ZoneSummary, verdict: str
+    name: str, stored: ZoneSummary, received: ZoneSummary, verdict: str
 ) -> None:
     table = SummaryTable()
-    assert table.offer(held) is SummaryVerdict.NEWER
-    assert table.offer(offered).value == verdict
+    assert table.offer(stored) is SummaryVerdict.NEWER
+    assert table.offer(received).value == verdict
 
 
 def test_many_senders_do_not_overload_one_zone() -> None:
     table = SummaryTable()
     table.offer(summary("b-0", 1, 0, {"b-0": 1}))
-    held = table.fresh()[0]
-    object.__setattr__(held, "first_seen_ms", held.first_seen_ms - 60_000)
+    stored = table.fresh()[0]
+    object.__setattr__(stored, "first_seen_ms", stored.first_seen_ms - 60_000)
     taken = 0
     for number in range(200):
         spare = SpareRoom(random.Random(number))
-        while spare.available(held, "m", 10, 200):
+        while spare.available(stored, "m", 10, 200):
             spare.take(ZoneName("zone-b"), "m")
             taken += 1
     # About the advertised room in total, not 200 times as much.
@@ -221,16 +237,16 @@
 def test_refusal_halves_the_share() -> None:
     table = SummaryTable()
     table.offer(summary("b-0", 1, 0, {"b-0": 1}))
-    held = table.fresh()[0]
+    stored = table.fresh()[0]
     spare = SpareRoom(random.Random(1))
     zone = ZoneName("zone-b")
-    spare.available(held, "m", 8, 1)
+    spare.available(stored, "m", 8, 1)
     for _ in range(20):
         spare.accepted(zone, "m")
     grown = spare._uses[zone, "m"].limit
     spare.refused(zone, "m")
     assert spare._uses[zone, "m"].limit == grown / 2
-    assert not spare.available(held, "m", 8, 1)
+    assert not spare.available(stored, "m", 8, 1)
 
 
 def test_prefix_keys_per_prompt_length() -> None:
