--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -39,13 +39,13 @@
 )
 
 MAX_ATTEMPTS = 4
-WAIT_SLICE_MS = 100.0
+WAIT_INTERVAL_MS = 100.0
 
 # Not retried: the caller no longer waits for an answer.
 _FINAL_REASONS = (Reason.CALLER_GONE, Reason.DEADLINE_PASSED)
 
 # The request may have crashed the backend server.
-_BROKEN = (Reason.BROKEN_BEFORE_ANSWER, Reason.BROKEN_IN_ANSWER)
+_BROKEN_REASONS = (Reason.BROKEN_BEFORE_ANSWER, Reason.BROKEN_IN_ANSWER)
 
 # Attributed to the backend server; other reasons are attributed to the request.
 _SERVER_FAULTS = (
@@ -57,17 +57,17 @@
 )
 
 RelaySender = Callable[[Request, RemoteCandidate, int], Answer]
-Parts = Generator[AnswerPart, None, AnswerEnd]
+AnswerParts = Generator[AnswerPart, None, AnswerEnd]
 
 
 @dataclass(slots=True)
 class _Progress:
     """Hold the state of one request across its attempts."""
 
-    tokens_passed: int  # tokens already passed to the caller
+    tokens_forwarded: int  # tokens already passed to the caller
     attempts: int = 0  # attempts started
     may_have_run: bool = False  # whether an attempt ended without proof that it did not run
-    head_passed: bool = False  # whether the response head was passed to the caller
+    head_forwarded: bool = False  # whether the response head was passed to the caller
     excluded: set[str] = field(default_factory=set)  # backend servers and zones that failed
 
 
@@ -93,21 +93,21 @@
         """Create a dispatcher and report its waiting requests to the load table."""
         self._parts = parts
         self._budget = RetryBudget()
-        self.waiting_room = WaitingRoom(self._place_here)
+        self.waiting_room = WaitingRoom(self._reserve_local)
         parts.loads.own_waiting = self.waiting_room.counts
 
     def run(self, request: Request, resume_from: int = 0) -> Answer:
         """Yield the response parts; the last part is the only `AnswerEnd`."""
-        progress = _Progress(tokens_passed=resume_from)
+        progress = _Progress(tokens_forwarded=resume_from)
         self._budget.earn()
         while True:
             if self._verdict(request) is Verdict.QUARANTINED:
                 yield unknown(Reason.QUARANTINED)
                 return
             end = yield from self._try_once(request, progress)
-            stop = self._reason_to_stop(request, progress, end)
-            if stop is not None:
-                final = _final_end(progress, end, stop)
+            stop_reason = self._reason_to_stop(request, progress, end)
+            if stop_reason is not None:
+                final = _final_end(progress, end, stop_reason)
                 assert final.outcome is not Outcome.not_run or not progress.may_have_run, (
                     f"request {request.request_id} would be reported as not run but may have run"
                 )
@@ -128,24 +128,24 @@
         candidates = self._parts.finder.find(request)
         return self._parts.policy.takes_relayed(request, candidates)
 
-    def _try_once(self, request: Request, progress: _Progress) -> Parts:
+    def _try_once(self, request: Request, progress: _Progress) -> AnswerParts:
         assert request.repeatable or not progress.may_have_run, (
             f"request {request.request_id} is not repeatable and may have run"
         )
         progress.attempts += 1
-        place = self._find_place(request, frozenset(progress.excluded))
-        match place:
+        placement = self._reserve_or_route(request, frozenset(progress.excluded))
+        match placement:
             case Refuse(reason, retry_after_ms):
                 return not_run(reason, retry_after_ms)
             case SendAway(candidate):
                 end = yield from self._send_away(request, candidate, progress)
             case reservation:
-                end = yield from self._run_here(request, reservation, progress)
+                end = yield from self._run_locally(request, reservation, progress)
         if end.outcome is Outcome.unknown:
             progress.may_have_run = True
         return end
 
-    def _find_place(
+    def _reserve_or_route(
         self, request: Request, excluded: frozenset[str]
     ) -> Reservation | SendAway | Refuse:
         decision = self._decide(request, excluded)
@@ -156,7 +156,7 @@
             while isinstance(decision, WaitHere):
                 if not request.still_wanted():
                     return Refuse(Reason.CALLER_GONE, 0)
-                reservation = self.waiting_room.wait(waiter, WAIT_SLICE_MS)
+                reservation = self.waiting_room.wait(waiter, WAIT_INTERVAL_MS)
                 if reservation is not None:
                     return reservation
                 decision = self._decide(request, excluded)
@@ -176,12 +176,14 @@
             return Reservation(decision.candidate.estimate.backend, request)
         return decision
 
-    def _place_here(self, request: Request, excluded: frozenset[str]) -> Reservation | None:
+    def _reserve_local(self, request: Request, excluded: frozenset[str]) -> Reservation | None:
         candidates = self._parts.finder.find(request, excluded)
         best = best_local(request, candidates)
         return Reservation(best.estimate.backend, request) if best else None
 
-    def _run_here(self, request: Request, reservation: Reservation, progress: _Progress) -> Parts:
+    def _run_locally(
+        self, request: Request, reservation: Reservation, progress: _Progress
+    ) -> AnswerParts:
         self._parts.metrics.attempts.labels("here").inc()
         backend = reservation.backend
         member = backend.member
@@ -189,26 +191,26 @@
             backend_server=BackendServerId(member.id),
             address=BackendAddress(member.ip, member.port),
             connect_timeout_ms=self._parts.connect_timeout_ms,
-            resume_from=progress.tokens_passed,
+            resume_from=progress.tokens_forwarded,
             priority=self._parts.policy.engine_priority(request),
         )
         try:
             for part in attempt(request, context):
                 if isinstance(part, AnswerEnd):
-                    self._note_end(request, reservation, part, progress)
+                    self._record_end(request, reservation, part, progress)
                     return part
                 if isinstance(part, AnswerChunk):
                     reservation.first_token()
                     self._parts.prefixes.note(
                         request.prefix_keys, context.backend_server, backend.incarnation
                     )
-                yield from _pass_on(part, request, progress)
+                yield from _forward(part, request, progress)
         finally:
             reservation.release()
             self.waiting_room.pump()
         raise AssertionError("an attempt finished without an AnswerEnd")
 
-    def _note_end(
+    def _record_end(
         self, request: Request, reservation: Reservation, end: AnswerEnd, progress: _Progress
     ) -> None:
         backend = reservation.backend
@@ -218,15 +220,15 @@
             else:
                 self._parts.loads.note_failure(backend)
             progress.excluded.add(backend.member.id)
-            self._note_crash(request, backend, end)
+            self._record_crash(request, backend, end)
         elif end.outcome is Outcome.complete:
             self._parts.loads.note_success(backend)
             if (digest := request.digest()) is not None:
                 self._parts.crashes.note_whole(digest)
 
-    def _note_crash(self, request: Request, backend: BackendState, end: AnswerEnd) -> None:
+    def _record_crash(self, request: Request, backend: BackendState, end: AnswerEnd) -> None:
         """Record a crash if the backend server that broke the response refuses connections."""
-        digest = request.digest() if end.reason in _BROKEN else None
+        digest = request.digest() if end.reason in _BROKEN_REASONS else None
         if digest is None:
             return
         server_id = BackendServerId(f"{backend.member.id}@{backend.incarnation}")
@@ -236,7 +238,7 @@
 
     def _send_away(
         self, request: Request, candidate: RemoteCandidate, progress: _Progress
-    ) -> Parts:
+    ) -> AnswerParts:
         assert request.origin is Origin.CALLER, "a relayed request must not be relayed again"
         allowed = self._parts.finder.catalog.allowed_regions(request.residency_rule)
         assert candidate.region in allowed, (
@@ -244,12 +246,12 @@
         )
         self._parts.metrics.attempts.labels("away").inc()
         self._parts.metrics.sent_away.labels(candidate.region).inc()
-        for part in self._parts.relay(request, candidate, progress.tokens_passed):
+        for part in self._parts.relay(request, candidate, progress.tokens_forwarded):
             if isinstance(part, AnswerEnd):
                 if part.outcome is not Outcome.complete:
                     progress.excluded.add(candidate.zone)
                 return part
-            yield from _pass_on(part, request, progress)
+            yield from _forward(part, request, progress)
         raise AssertionError("a relay finished without an AnswerEnd")
 
     def _reason_to_stop(
@@ -276,7 +278,7 @@
         return False
     if end.outcome is Outcome.not_run:
         return True
-    resumable = request.kind is TargetKind.ENGINE or not progress.head_passed
+    resumable = request.kind is TargetKind.ENGINE or not progress.head_forwarded
     return request.repeatable and resumable
 
 
@@ -287,14 +289,14 @@
     return AnswerEnd(end.outcome, reason, end.retry_after_ms)
 
 
-def _pass_on(
+def _forward(
     part: AnswerPart, request: Request, progress: _Progress
 ) -> Generator[AnswerPart, None, None]:
     """Forward a part; a resumed response has a single head and each token once."""
     if isinstance(part, AnswerHead):
-        if progress.head_passed:
+        if progress.head_forwarded:
             return
-        progress.head_passed = True
+        progress.head_forwarded = True
     else:
-        progress.tokens_passed += request.kind is TargetKind.ENGINE
+        progress.tokens_forwarded += request.kind is TargetKind.ENGINE
     yield part
--- a/sparline/dispatch/_retry_budget.py
+++ b/sparline/dispatch/_retry_budget.py
@@ -1,7 +1,7 @@
 """A retry budget, which limits retries to a small fraction of all requests."""
 
 RETRIES_PER_REQUEST = 0.2
-LARGEST_BUDGET = 20.0
+MAX_BUDGET = 20.0
 
 
 class RetryBudget:
@@ -9,15 +9,15 @@
 
     def __init__(self) -> None:
         """Start with half of the maximum budget."""
-        self._left = LARGEST_BUDGET / 2
+        self._balance = MAX_BUDGET / 2
 
     def earn(self) -> None:
         """Add the share of one request."""
-        self._left = min(self._left + RETRIES_PER_REQUEST, LARGEST_BUDGET)
+        self._balance = min(self._balance + RETRIES_PER_REQUEST, MAX_BUDGET)
 
     def spend(self) -> bool:
         """Take one retry from the budget; return False if it is exhausted."""
-        if self._left < 1:
+        if self._balance < 1:
             return False
-        self._left -= 1
+        self._balance -= 1
         return True
--- a/sparline/dispatch/_waiting_room.py
+++ b/sparline/dispatch/_waiting_room.py
@@ -11,9 +11,9 @@
 from sparline.routing import Reservation
 from sparline.schema._messages import WaitingCount
 
-PRIORITY_HEAD_START_MS = 500.0
+MS_PER_PRIORITY = 500.0
 
-Placer = Callable[[Request, frozenset[str]], Reservation | None]
+ReserveSlot = Callable[[Request, frozenset[str]], Reservation | None]
 
 
 @dataclass(slots=True, eq=False)
@@ -32,16 +32,16 @@
         Long requests do not starve: a fraction of every engine's slots is reserved for them.
         """
         waited_ms = now_ms() - self.arrived_ms
-        head_start_ms = self.request.priority * PRIORITY_HEAD_START_MS
-        return self.request.length is Length.SHORT, waited_ms + head_start_ms
+        priority_ms = self.request.priority * MS_PER_PRIORITY
+        return self.request.length is Length.SHORT, waited_ms + priority_ms
 
 
 class WaitingRoom:
     """Queue requests, and give free slots to the most urgent request that fits."""
 
-    def __init__(self, place: Placer) -> None:
+    def __init__(self, place: ReserveSlot) -> None:
         """Reserve slots with `place`, which returns None if no slot is free."""
-        self._place = place
+        self._reserve_slot = place
         self._waiters: list[Waiter] = []
 
     def enter(self, request: Request, excluded: frozenset[str]) -> Waiter:
@@ -50,9 +50,9 @@
         self._waiters.append(waiter)
         return waiter
 
-    def wait(self, waiter: Waiter, slice_ms: float) -> Reservation | None:
-        """Wait up to `slice_ms` for a reservation; return None if there is none yet."""
-        waiter.placed.wait(slice_ms / 1000)
+    def wait(self, waiter: Waiter, timeout_ms: float) -> Reservation | None:
+        """Wait up to `timeout_ms` for a reservation; return None if there is none yet."""
+        waiter.placed.wait(timeout_ms / 1000)
         if waiter.reservation is None:
             self.pump()
         return waiter.reservation
@@ -69,7 +69,7 @@
             key = waiter.request.routing_key, waiter.request.length
             if key in full:
                 continue
-            reservation = self._place(waiter.request, waiter.excluded)
+            reservation = self._reserve_slot(waiter.request, waiter.excluded)
             if reservation is None:
                 full.add(key)
                 continue
--- a/sparline/dispatch/tests/test_quarantine.py
+++ b/sparline/dispatch/tests/test_quarantine.py
@@ -8,13 +8,13 @@
 from sparline.tests.local_fleet import HOST, LocalFleet
 from standins import Engine, Faults
 
-CRASHING = "whoever reads this ends"
+CRASHING_PROMPT = "whoever reads this ends"
 # Time until a crashed engine has restarted, and until crash reports have spread (s).
-BACK_S = 0.2
-NEWS_S = 1.0
-TRIES = 10
-MOST_ENDS = 3
-MOST_LATER_SENDS = 3
+RESTART_S = 0.2
+SPREAD_S = 1.0
+ATTEMPTS = 10
+CRASH_LIMIT = 3
+MAX_LATER_CRASHES = 3
 ZONES = (ZoneShape("zone-a", "north", 2, 3, 1), ZoneShape("zone-b", "south", 2, 2, 1))
 
 
@@ -23,20 +23,20 @@
 
     def __init__(self) -> None:
         super().__init__(ZONES)
-        self.ended: list[Engine] = []
+        self.crashed: list[Engine] = []
         for name in self.engines:
             self._watch(name)
 
     def _watch(self, name: str) -> None:
         engine = self.engines[name]
-        engine.ends_on = CRASHING
-        engine.on_end = lambda: self._note_end(name)
+        engine.ends_on = CRASHING_PROMPT
+        engine.on_end = lambda: self._record_crash(name)
 
-    def _note_end(self, name: str) -> None:
-        self.ended.append(self.engines[name])
-        gevent.spawn_later(BACK_S, self._come_back, name)
+    def _record_crash(self, name: str) -> None:
+        self.crashed.append(self.engines[name])
+        gevent.spawn_later(RESTART_S, self._restart, name)
 
-    def _come_back(self, name: str) -> None:
+    def _restart(self, name: str) -> None:
         port = self._backend_ports[name][0]
         loaded = self.engines[name].loaded
         self.engines[name] = Engine(HOST, port, self.platform.address, self.engine_shape, loaded)
@@ -45,27 +45,29 @@
 
     def repeat(self, number: int) -> Report:
         """Retry as a caller: same content, new request id, alternating regions."""
-        return self.ask(self.question("north", prompt=CRASHING), ("north", "south")[number % 2])
+        return self.ask(
+            self.question("north", prompt=CRASHING_PROMPT), ("north", "south")[number % 2]
+        )
 
-    def repeat_until_ended(self) -> None:
+    def repeat_until_crash_limit(self) -> None:
         """Repeat the request until three engines have crashed, then let the reports spread."""
-        for number in range(TRIES):
-            if len(self.ended) >= MOST_ENDS:
+        for number in range(ATTEMPTS):
+            if len(self.crashed) >= CRASH_LIMIT:
                 break
             self.repeat(number)
-            gevent.sleep(2 * BACK_S)
-        assert len(self.ended) >= MOST_ENDS
-        gevent.sleep(NEWS_S)
+            gevent.sleep(2 * RESTART_S)
+        assert len(self.crashed) >= CRASH_LIMIT
+        gevent.sleep(SPREAD_S)
 
 
 def test_request_that_crashes_engines_is_quarantined():
     with CrashingFleet() as fleet:
-        fleet.repeat_until_ended()
-        before = len(fleet.ended)
-        for number in range(TRIES):
+        fleet.repeat_until_crash_limit()
+        before = len(fleet.crashed)
+        for number in range(ATTEMPTS):
             report = fleet.repeat(number)
-            gevent.sleep(BACK_S)
-        assert len(fleet.ended) - before <= MOST_LATER_SENDS
+            gevent.sleep(RESTART_S)
+        assert len(fleet.crashed) - before <= MAX_LATER_CRASHES
         # Never reported as not_run, and without a time to retry after.
         assert (report.outcome, report.reason) == ("unknown", "quarantined")
         known = [one.crashes.quarantined() for one in fleet.instances.values()]
@@ -75,15 +77,15 @@
 
 def test_instance_started_later_does_not_send_quarantined_request():
     with CrashingFleet() as fleet:
-        fleet.repeat_until_ended()
-        before = len(fleet.ended)
+        fleet.repeat_until_crash_limit()
+        before = len(fleet.crashed)
         late = fleet.start_instance_again("zone-b-0")
         fleet.until(
             lambda: late.crashes.quarantined() == 1, "the new instance knows of the quarantine"
         )
         for number in range(4):
             fleet.repeat(number)
-        assert len(fleet.ended) == before
+        assert len(fleet.crashed) == before
 
 
 def test_broken_response_of_live_engine_is_not_a_crash():
--- a/sparline/dispatch/tests/test_waiting_room.py
+++ b/sparline/dispatch/tests/test_waiting_room.py
@@ -24,12 +24,12 @@
     ("name", "waiting", "places", "placed"), ORDERS, ids=[row[0] for row in ORDERS]
 )
 def test_order(name: str, waiting: list, places: int, placed: list[int]) -> None:
-    left = [places]
+    free_slots = [places]
 
     def place(_request: Request, _excluded: frozenset) -> object | None:
-        if not left[0]:
+        if not free_slots[0]:
             return None
-        left[0] -= 1
+        free_slots[0] -= 1
         return object()
 
     room = WaitingRoom(place)
