--- a/sparline/entry/_caller_request.py
+++ b/sparline/entry/_caller_request.py
@@ -24,7 +24,7 @@
     Ticket,
     parse_ticket,
 )
-from sparline.routing import CHARS_PER_TOKEN, long_or_short, prefix_keys
+from sparline.routing import CHARS_PER_TOKEN, classify_length, prefix_keys
 from sparline.schema._declarations import Model, Organisation, Service
 
 MAX_PROMPT_BYTES = 4_000_000
@@ -173,7 +173,7 @@
         prompt_tokens=prompt_tokens,
         output_tokens=wanted.get("max_tokens", model.max_output_tokens),
         prefix_keys=prefix_keys(organisation.id, model.name, prompt),
-        length=long_or_short(prompt_tokens, model.short_prompt_tokens),
+        length=classify_length(prompt_tokens, model.short_prompt_tokens),
         deadline_at_ms=now_ms() + (marks.deadline_ms or model.default_deadline_ms),
         priority=marks.priority,
         repeatable=marks.repeatable,
--- a/sparline/operations/_explain.py
+++ b/sparline/operations/_explain.py
@@ -17,7 +17,7 @@
     RunHere,
     SendAway,
     WaitHere,
-    long_or_short,
+    classify_length,
 )
 
 
@@ -73,7 +73,7 @@
                 prompt_tokens=prompt_tokens,
                 output_tokens=numbers["output_tokens"] if model else 0,
                 prefix_keys=(),
-                length=long_or_short(prompt_tokens, model.short_prompt_tokens if model else 0),
+                length=classify_length(prompt_tokens, model.short_prompt_tokens if model else 0),
                 deadline_at_ms=now_ms() + numbers["deadline_ms"],
                 priority=5,
                 repeatable=query.get("not_repeatable", "0") != "1",
--- a/sparline/relay/_receiver.py
+++ b/sparline/relay/_receiver.py
@@ -26,7 +26,7 @@
     RequestBody,
     TargetKind,
 )
-from sparline.routing import long_or_short, prefix_keys
+from sparline.routing import classify_length, prefix_keys
 from sparline.schema._messages import (
     Hello,
     InstanceState,
@@ -127,7 +127,7 @@
             prompt_tokens=offer.prompt_tokens,
             output_tokens=offer.output_tokens,
             prefix_keys=_prefix_keys(offer, body) if model else (),
-            length=long_or_short(offer.prompt_tokens, model.short_prompt_tokens if model else 0),
+            length=classify_length(offer.prompt_tokens, model.short_prompt_tokens if model else 0),
             deadline_at_ms=deadline_at_ms,
             priority=offer.priority,
             repeatable=offer.repeatable,
--- a/sparline/routing/__init__.py
+++ b/sparline/routing/__init__.py
@@ -6,7 +6,7 @@
     LocalCandidate,
     RemoteCandidate,
     Verdict,
-    long_or_short,
+    classify_length,
     room_for,
     room_key,
 )
@@ -60,7 +60,7 @@
     "WaitHere",
     "aged",
     "best_local",
-    "long_or_short",
+    "classify_length",
     "prefix_keys",
     "room_for",
     "room_key",
--- a/sparline/routing/_candidates.py
+++ b/sparline/routing/_candidates.py
@@ -246,6 +246,6 @@
     return f"{request.routing_key}/{request.length.value}"
 
 
-def long_or_short(prompt_tokens: int, short_prompt_tokens: int) -> Length:
+def classify_length(prompt_tokens: int, short_prompt_tokens: int) -> Length:
     """Return the length class of a prompt."""
     return Length.SHORT if prompt_tokens <= short_prompt_tokens else Length.LONG
