--- a/sparline/instance/_control.py
+++ b/sparline/instance/_control.py
@@ -30,7 +30,7 @@
     SummaryTable,
     SummaryVerdict,
     aged,
-    summarise,
+    build_zone_summary,
 )
 from sparline.schema._gossip import CrashNews
 from sparline.schema._messages import (
@@ -177,7 +177,9 @@
             InstanceId(own.instance_id), own.incarnation, own.region, own.availability_zone
         )
         members = self._parts.membership.zone_members()
-        made = summarise(reporter, self._summary_sequence, members, self._parts.loads, self.catalog)
+        made = build_zone_summary(
+            reporter, self._summary_sequence, members, self._parts.loads, self.catalog
+        )
         summary = EncodedMessage.of(made)
         for link in next_hops(self._parts.membership, Scope.SELF, own_region_news=True):
             link.send(summary)
--- a/sparline/routing/__init__.py
+++ b/sparline/routing/__init__.py
@@ -30,7 +30,7 @@
     SummaryTable,
     SummaryVerdict,
     aged,
-    summarise,
+    build_zone_summary,
     wait_for_target,
 )
 
@@ -60,10 +60,10 @@
     "WaitHere",
     "aged",
     "best_local",
+    "build_zone_summary",
     "classify_length",
     "prefix_keys",
     "room_for",
     "room_key",
-    "summarise",
     "wait_for_target",
 ]
--- a/sparline/routing/_summaries.py
+++ b/sparline/routing/_summaries.py
@@ -127,7 +127,7 @@
     zone: ZoneName  # the summarised zone
 
 
-def summarise(
+def build_zone_summary(
     reporter: Reporter,
     sequence: int,
     members: list[MemberBrief],
