--- a/sparline/instance/_control.py
+++ b/sparline/instance/_control.py
@@ -29,8 +29,8 @@
     Reporter,
     SummaryTable,
     SummaryVerdict,
-    aged,
     build_zone_summary,
+    with_added_age,
 )
 from sparline.schema._gossip import CrashNews
 from sparline.schema._messages import (
@@ -193,7 +193,7 @@
             link.send(CrashNews([note_of(one) for one in suspects], pass_on=True))
         if scope_of(self._parts.membership.self_hello, link.peer) is Scope.SIBLING:
             for held in self._parts.summaries.fresh():
-                link.send(aged(held.summary, now_ms() - held.received_ms))
+                link.send(with_added_age(held.summary, now_ms() - held.received_ms))
 
     def on_lost(self, link: PeerLink) -> None:
         """Drop what a lost peer told."""
@@ -256,7 +256,7 @@
     def _send_passed_on(self) -> None:
         pending, self._to_pass_on = self._to_pass_on, {}
         for received_ms, summary, links in pending.values():
-            encoded = EncodedMessage.of(aged(summary, now_ms() - received_ms))
+            encoded = EncodedMessage.of(with_added_age(summary, now_ms() - received_ms))
             for link in links:
                 link.send(encoded)
 
--- a/sparline/routing/__init__.py
+++ b/sparline/routing/__init__.py
@@ -29,9 +29,9 @@
     Reporter,
     SummaryTable,
     SummaryVerdict,
-    aged,
     build_zone_summary,
     wait_for_target,
+    with_added_age,
 )
 
 __all__ = [
@@ -58,7 +58,6 @@
     "SummaryVerdict",
     "Verdict",
     "WaitHere",
-    "aged",
     "best_local",
     "build_zone_summary",
     "classify_length",
@@ -66,4 +65,5 @@
     "room_for",
     "room_key",
     "wait_for_target",
+    "with_added_age",
 ]
--- a/sparline/routing/_summaries.py
+++ b/sparline/routing/_summaries.py
@@ -53,7 +53,7 @@
         return now_ms() - self.made_at_ms
 
 
-def aged(summary: ZoneSummary, elapsed_ms: float) -> ZoneSummary:
+def with_added_age(summary: ZoneSummary, elapsed_ms: float) -> ZoneSummary:
     """Return a copy whose age is increased, for forwarding."""
     return msgspec.structs.replace(summary, age_ms=int(summary.age_ms + elapsed_ms))
 
