--- a/benchmarks/_baselines.py
+++ b/benchmarks/_baselines.py
@@ -11,9 +11,9 @@
     LocalCandidate,
     Policy,
     Refuse,
+    RelayToZone,
     RemoteCandidate,
     RunHere,
-    SendAway,
     Verdict,
 )
 
@@ -102,5 +102,5 @@
         case LocalCandidate():
             return RunHere(choice)
         case RemoteCandidate():
-            return SendAway(choice)
+            return RelayToZone(choice)
     return Refuse(Reason.NO_BACKEND, NO_BACKEND_RETRY_MS)
--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -30,10 +30,10 @@
     Policy,
     PrefixMap,
     Refuse,
+    RelayToZone,
     RemoteCandidate,
     Reservation,
     RunHere,
-    SendAway,
     WaitHere,
     best_local,
 )
@@ -137,7 +137,7 @@
         match placement:
             case Refuse(reason, retry_after_ms):
                 return not_run(reason, retry_after_ms)
-            case SendAway(candidate):
+            case RelayToZone(candidate):
                 end = yield from self._send_away(request, candidate, progress)
             case reservation:
                 end = yield from self._run_locally(request, reservation, progress)
@@ -147,7 +147,7 @@
 
     def _reserve_or_route(
         self, request: Request, excluded: frozenset[str]
-    ) -> Reservation | SendAway | Refuse:
+    ) -> Reservation | RelayToZone | Refuse:
         decision = self._decide(request, excluded)
         if not isinstance(decision, WaitHere):
             return decision
@@ -166,7 +166,7 @@
 
     def _decide(
         self, request: Request, excluded: frozenset[str]
-    ) -> Reservation | SendAway | Refuse | WaitHere:
+    ) -> Reservation | RelayToZone | Refuse | WaitHere:
         """Decide, and reserve the slot at once so that no other request counts on it."""
         if request.left_ms() <= 0:
             return Refuse(Reason.DEADLINE_PASSED, 0)
--- a/sparline/operations/_explain.py
+++ b/sparline/operations/_explain.py
@@ -14,8 +14,8 @@
     Decision,
     Policy,
     Refuse,
+    RelayToZone,
     RunHere,
-    SendAway,
     WaitHere,
     classify_length,
 )
@@ -92,7 +92,7 @@
     match decision:
         case RunHere(candidate):
             return {"do": "run_here", "at": candidate.estimate.backend.member.id}
-        case SendAway(candidate):
+        case RelayToZone(candidate):
             return {"do": "send_away", "at": candidate.zone, "through": candidate.instance_id}
         case WaitHere(ttft_ms):
             return {"do": "wait_here", "ttft_ms": round(ttft_ms, 1)}
--- a/sparline/routing/_policy.py
+++ b/sparline/routing/_policy.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendAway:
+class RelayToZone:
     """Relay the request to another zone now."""
 
     candidate: RemoteCandidate  # the chosen zone
@@ -53,7 +53,7 @@
     retry_after_ms: float  # delay after which the caller may retry
 
 
-Decision = RunHere | SendAway | WaitHere | Refuse
+Decision = RunHere | RelayToZone | WaitHere | Refuse
 
 
 class Policy(Protocol):
@@ -83,7 +83,7 @@
         local_total_ms = local.estimate.total_ms if local else float("inf")
         remote = self._best_remote(request, candidates, local)
         if remote is not None:
-            return SendAway(remote)
+            return RelayToZone(remote)
         if local is None or local_total_ms > left_ms:
             return _refuse(candidates, local_total_ms - left_ms)
         return RunHere(ready) if ready else WaitHere(local.estimate.ttft_ms)
