--- a/benchmarks/_baselines.py
+++ b/benchmarks/_baselines.py
@@ -13,7 +13,7 @@
     Refuse,
     RelayToZone,
     RemoteCandidate,
-    RunHere,
+    RunLocally,
     Verdict,
 )
 
@@ -100,7 +100,7 @@
 def _to_decision(choice: LocalCandidate | RemoteCandidate | None) -> Decision:
     match choice:
         case LocalCandidate():
-            return RunHere(choice)
+            return RunLocally(choice)
         case RemoteCandidate():
             return RelayToZone(choice)
     return Refuse(Reason.NO_BACKEND, NO_BACKEND_RETRY_MS)
--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -33,7 +33,7 @@
     RelayToZone,
     RemoteCandidate,
     Reservation,
-    RunHere,
+    RunLocally,
     WaitHere,
     best_local,
 )
@@ -172,7 +172,7 @@
             return Refuse(Reason.DEADLINE_PASSED, 0)
         candidates = self._parts.finder.find(request, excluded)
         decision = self._parts.policy.decide(request, candidates)
-        if isinstance(decision, RunHere):
+        if isinstance(decision, RunLocally):
             return Reservation(decision.candidate.estimate.backend, request)
         return decision
 
--- a/sparline/operations/_explain.py
+++ b/sparline/operations/_explain.py
@@ -15,7 +15,7 @@
     Policy,
     Refuse,
     RelayToZone,
-    RunHere,
+    RunLocally,
     WaitHere,
     classify_length,
 )
@@ -90,7 +90,7 @@
 
 def _describe(decision: Decision) -> dict[str, Any]:
     match decision:
-        case RunHere(candidate):
+        case RunLocally(candidate):
             return {"do": "run_here", "at": candidate.estimate.backend.member.id}
         case RelayToZone(candidate):
             return {"do": "send_away", "at": candidate.zone, "through": candidate.instance_id}
--- a/sparline/routing/__init__.py
+++ b/sparline/routing/__init__.py
@@ -17,7 +17,7 @@
     Policy,
     Refuse,
     RelayToZone,
-    RunHere,
+    RunLocally,
     WaitHere,
     best_local,
 )
@@ -52,7 +52,7 @@
     "RemoteCandidate",
     "Reporter",
     "Reservation",
-    "RunHere",
+    "RunLocally",
     "SpareRoom",
     "SummaryTable",
     "SummaryVerdict",
--- a/sparline/routing/_policy.py
+++ b/sparline/routing/_policy.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunHere:
+class RunLocally:
     """Send the request to a backend server of this zone now."""
 
     candidate: LocalCandidate  # the chosen backend server
@@ -53,7 +53,7 @@
     retry_after_ms: float  # delay after which the caller may retry
 
 
-Decision = RunHere | RelayToZone | WaitHere | Refuse
+Decision = RunLocally | RelayToZone | WaitHere | Refuse
 
 
 class Policy(Protocol):
@@ -86,7 +86,7 @@
             return RelayToZone(remote)
         if local is None or local_total_ms > left_ms:
             return _refuse(candidates, local_total_ms - left_ms)
-        return RunHere(ready) if ready else WaitHere(local.estimate.ttft_ms)
+        return RunLocally(ready) if ready else WaitHere(local.estimate.ttft_ms)
 
     def _best_remote(
         self, request: Request, candidates: Candidates, local: LocalCandidate | None
--- a/sparline/routing/tests/test_policy.py
+++ b/sparline/routing/tests/test_policy.py
@@ -16,7 +16,7 @@
     Refuse,
     RelayToZone,
     RemoteCandidate,
-    RunHere,
+    RunLocally,
     SpareRoom,
     Verdict,
     WaitHere,
@@ -68,7 +68,7 @@
 
 DECISIONS = [
     # name, local candidates, remote candidates, objective, deadline in ms, decision
-    ("free slot in local zone", [local(0)], [remote(5)], TAIL, 1000, RunHere),
+    ("free slot in local zone", [local(0)], [remote(5)], TAIL, 1000, RunLocally),
     ("short wait: stays local", [local(100, NO_ROOM)], [remote(40)], TAIL, 1000, WaitHere),
     ("long wait: relayed", [local(400, NO_ROOM)], [remote(40)], TAIL, 1000, RelayToZone),
     ("long wait, remote no better", [local(400, NO_ROOM)], [remote(390)], TAIL, 1000, WaitHere),
