--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -34,7 +34,7 @@
     RemoteCandidate,
     Reservation,
     RunLocally,
-    WaitHere,
+    WaitLocally,
     best_local,
 )
 
@@ -149,11 +149,11 @@
         self, request: Request, excluded: frozenset[str]
     ) -> Reservation | RelayToZone | Refuse:
         decision = self._decide(request, excluded)
-        if not isinstance(decision, WaitHere):
+        if not isinstance(decision, WaitLocally):
             return decision
         waiter = self.waiting_room.enter(request, excluded)
         try:
-            while isinstance(decision, WaitHere):
+            while isinstance(decision, WaitLocally):
                 if not request.still_wanted():
                     return Refuse(Reason.CALLER_GONE, 0)
                 reservation = self.waiting_room.wait(waiter, WAIT_INTERVAL_MS)
@@ -166,7 +166,7 @@
 
     def _decide(
         self, request: Request, excluded: frozenset[str]
-    ) -> Reservation | RelayToZone | Refuse | WaitHere:
+    ) -> Reservation | RelayToZone | Refuse | WaitLocally:
         """Decide, and reserve the slot at once so that no other request counts on it."""
         if request.left_ms() <= 0:
             return Refuse(Reason.DEADLINE_PASSED, 0)
--- a/sparline/operations/_explain.py
+++ b/sparline/operations/_explain.py
@@ -16,7 +16,7 @@
     Refuse,
     RelayToZone,
     RunLocally,
-    WaitHere,
+    WaitLocally,
     classify_length,
 )
 
@@ -94,7 +94,7 @@
             return {"do": "run_here", "at": candidate.estimate.backend.member.id}
         case RelayToZone(candidate):
             return {"do": "send_away", "at": candidate.zone, "through": candidate.instance_id}
-        case WaitHere(ttft_ms):
+        case WaitLocally(ttft_ms):
             return {"do": "wait_here", "ttft_ms": round(ttft_ms, 1)}
         case Refuse(reason, retry_after_ms):
             return {"do": "refuse", "reason": reason.value, "retry_after_ms": int(retry_after_ms)}
--- a/sparline/routing/__init__.py
+++ b/sparline/routing/__init__.py
@@ -18,7 +18,7 @@
     Refuse,
     RelayToZone,
     RunLocally,
-    WaitHere,
+    WaitLocally,
     best_local,
 )
 from sparline.routing._prefixes import CHARS_PER_TOKEN, PrefixMap, prefix_keys
@@ -57,7 +57,7 @@
     "SummaryTable",
     "SummaryVerdict",
     "Verdict",
-    "WaitHere",
+    "WaitLocally",
     "best_local",
     "build_zone_summary",
     "classify_length",
--- a/sparline/routing/_policy.py
+++ b/sparline/routing/_policy.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WaitHere:
+class WaitLocally:
     """Wait for free capacity in this zone."""
 
     ttft_ms: float  # estimated time to first token, including the wait
@@ -53,7 +53,7 @@
     retry_after_ms: float  # delay after which the caller may retry
 
 
-Decision = RunLocally | RelayToZone | WaitHere | Refuse
+Decision = RunLocally | RelayToZone | WaitLocally | Refuse
 
 
 class Policy(Protocol):
@@ -86,7 +86,7 @@
             return RelayToZone(remote)
         if local is None or local_total_ms > left_ms:
             return _refuse(candidates, local_total_ms - left_ms)
-        return RunLocally(ready) if ready else WaitHere(local.estimate.ttft_ms)
+        return RunLocally(ready) if ready else WaitLocally(local.estimate.ttft_ms)
 
     def _best_remote(
         self, request: Request, candidates: Candidates, local: LocalCandidate | None
--- a/sparline/routing/tests/test_policy.py
+++ b/sparline/routing/tests/test_policy.py
@@ -19,7 +19,7 @@
     RunLocally,
     SpareRoom,
     Verdict,
-    WaitHere,
+    WaitLocally,
     best_local,
     prefix_keys,
 )
@@ -69,19 +69,19 @@
 DECISIONS = [
     # name, local candidates, remote candidates, objective, deadline in ms, decision
     ("free slot in local zone", [local(0)], [remote(5)], TAIL, 1000, RunLocally),
-    ("short wait: stays local", [local(100, NO_ROOM)], [remote(40)], TAIL, 1000, WaitHere),
+    ("short wait: stays local", [local(100, NO_ROOM)], [remote(40)], TAIL, 1000, WaitLocally),
     ("long wait: relayed", [local(400, NO_ROOM)], [remote(40)], TAIL, 1000, RelayToZone),
-    ("long wait, remote no better", [local(400, NO_ROOM)], [remote(390)], TAIL, 1000, WaitHere),
-    ("long wait, remote share used up", [local(400, NO_ROOM)], [remote(40, NO_SHARE)], TAIL, 1000, WaitHere),
-    ("cost objective waits longer", [local(400, NO_ROOM)], [remote(40)], COST, 4000, WaitHere),
+    ("long wait, remote no better", [local(400, NO_ROOM)], [remote(390)], TAIL, 1000, WaitLocally),
+    ("long wait, remote share used up", [local(400, NO_ROOM)], [remote(40, NO_SHARE)], TAIL, 1000, WaitLocally),
+    ("cost objective waits longer", [local(400, NO_ROOM)], [remote(40)], COST, 4000, WaitLocally),
     ("cost objective, wait too long", [local(1400, NO_ROOM)], [remote(40)], COST, 4000, RelayToZone),
     ("deadline met only remotely", [local(950, NO_ROOM)], [remote(40)], COST, 1000, RelayToZone),
     ("deadline met nowhere", [local(950, NO_ROOM)], [remote(950)], TAIL, 1000, Refuse),
     ("no local candidate", [], [remote(40)], COST, 1000, RelayToZone),
     ("no candidate", [], [], TAIL, 1000, Refuse),
     ("only a remote zone with its share used up", [], [remote(40, NO_SHARE)], TAIL, 1000, Refuse),
-    ("remote region not allowed", [local(400, NO_ROOM)], [remote(1, Verdict.NOT_ALLOWED)], TAIL, 1000, WaitHere),
-    ("already relayed", [local(400, NO_ROOM)], [remote(1, Verdict.RELAYED)], TAIL, 1000, WaitHere),
+    ("remote region not allowed", [local(400, NO_ROOM)], [remote(1, Verdict.NOT_ALLOWED)], TAIL, 1000, WaitLocally),
+    ("already relayed", [local(400, NO_ROOM)], [remote(1, Verdict.RELAYED)], TAIL, 1000, WaitLocally),
 ]  # fmt: skip
 
 
