--- a/sparline/instance/_instance.py
+++ b/sparline/instance/_instance.py
@@ -46,7 +46,7 @@
     LoadTable,
     Policy,
     PrefixMap,
-    SpareRoom,
+    SpareCapacity,
     SummaryTable,
 )
 from sparline.schema._messages import Hello, InstanceState, LinkPurpose
@@ -120,7 +120,7 @@
     def _make_routing(self, policy: Policy) -> None:
         settings = self.settings
         prefixes = PrefixMap()
-        spare = SpareRoom(self._chance)
+        spare = SpareCapacity(self._chance)
         self.finder = CandidateFinder(
             settings.region, settings.availability_zone, self.loads, self.summaries, prefixes, spare
         )
--- a/sparline/relay/_sender.py
+++ b/sparline/relay/_sender.py
@@ -26,7 +26,7 @@
     not_run,
     unknown,
 )
-from sparline.routing import RemoteCandidate, SpareRoom, room_key
+from sparline.routing import RemoteCandidate, SpareCapacity, room_key
 from sparline.schema._messages import (
     Hello,
     LinkPurpose,
@@ -51,7 +51,7 @@
     """Send requests to peers; each connection carries one request at a time."""
 
     def __init__(
-        self, membership: Membership, spare: SpareRoom, metrics: Metrics, dialer: Dialer
+        self, membership: Membership, spare: SpareCapacity, metrics: Metrics, dialer: Dialer
     ) -> None:
         """Create a sender with no open connections."""
         self.is_region_allowed: Callable[[str, str], bool] = lambda _rule, _region: False
--- a/sparline/relay/tests/test_sender.py
+++ b/sparline/relay/tests/test_sender.py
@@ -26,7 +26,7 @@
     RequestBody,
     TargetKind,
 )
-from sparline.routing import RemoteCandidate, SpareRoom, SummaryTable, Verdict, room_key
+from sparline.routing import RemoteCandidate, SpareCapacity, SummaryTable, Verdict, room_key
 from sparline.schema._fleet import FleetMember
 from sparline.schema._messages import (
     Hello,
@@ -197,7 +197,7 @@
     )
     membership = Membership(own_hello("a-0"), SummaryTable())
     membership.catalog = Catalog(instances={PEER: member})
-    spare = SpareRoom(random.Random(1))
+    spare = SpareCapacity(random.Random(1))
     sender = RelaySender(membership, spare, Metrics(), Dialer("127.0.0.1", 300))
     sender.is_region_allowed = lambda _rule, _region: True
     candidate = RemoteCandidate("south", ZoneName("zone-b"), PEER, 1.0, 1.0, 0.0, Verdict.USABLE)
--- a/sparline/routing/__init__.py
+++ b/sparline/routing/__init__.py
@@ -22,7 +22,7 @@
     best_local,
 )
 from sparline.routing._prefixes import CHARS_PER_TOKEN, PrefixMap, prefix_keys
-from sparline.routing._spare_room import SpareRoom
+from sparline.routing._spare_room import SpareCapacity
 from sparline.routing._summaries import (
     NO_BACKEND_WAIT_MS,
     ROOM_WAIT_MS,
@@ -53,7 +53,7 @@
     "Reporter",
     "Reservation",
     "RunLocally",
-    "SpareRoom",
+    "SpareCapacity",
     "SummaryTable",
     "SummaryVerdict",
     "Verdict",
--- a/sparline/routing/_candidates.py
+++ b/sparline/routing/_candidates.py
@@ -16,7 +16,7 @@
 )
 from sparline.routing._load_table import LoadTable
 from sparline.routing._prefixes import PrefixMap
-from sparline.routing._spare_room import SpareRoom
+from sparline.routing._spare_room import SpareCapacity
 from sparline.routing._summaries import US_PER_MS, StoredSummary, SummaryTable
 from sparline.schema._declarations import Objective
 from sparline.schema._messages import InstanceState, RoomSummary, TargetSummary
@@ -86,7 +86,7 @@
         loads: LoadTable,
         summaries: SummaryTable,
         prefixes: PrefixMap,
-        spare: SpareRoom,
+        spare: SpareCapacity,
     ) -> None:
         """Use the load, summary, prefix and capacity tables of one instance."""
         self.catalog = Catalog()  # replaced when the declarations change
--- a/sparline/routing/_spare_room.py
+++ b/sparline/routing/_spare_room.py
@@ -33,7 +33,7 @@
     backoff_until_ms: float = 0.0  # no requests are sent before this time
 
 
-class SpareRoom:
+class SpareCapacity:
     """Limit requests to this instance's share of the capacity that summaries advertise."""
 
     def __init__(self, chance: random.Random) -> None:
--- a/sparline/routing/tests/test_policy.py
+++ b/sparline/routing/tests/test_policy.py
@@ -17,7 +17,7 @@
     RelayToZone,
     RemoteCandidate,
     RunLocally,
-    SpareRoom,
+    SpareCapacity,
     Verdict,
     WaitLocally,
     best_local,
@@ -226,7 +226,7 @@
     object.__setattr__(stored, "first_seen_ms", stored.first_seen_ms - 60_000)
     taken = 0
     for number in range(200):
-        spare = SpareRoom(random.Random(number))
+        spare = SpareCapacity(random.Random(number))
         while spare.available(stored, "m", 10, 200):
             spare.take(ZoneName("zone-b"), "m")
             taken += 1
@@ -238,7 +238,7 @@
     table = SummaryTable()
     table.offer(summary("b-0", 1, 0, {"b-0": 1}))
     stored = table.fresh()[0]
-    spare = SpareRoom(random.Random(1))
+    spare = SpareCapacity(random.Random(1))
     zone = ZoneName("zone-b")
     spare.available(stored, "m", 8, 1)
     for _ in range(20):
