--- a/sparline/dispatch/__init__.py
+++ b/sparline/dispatch/__init__.py
@@ -2,6 +2,6 @@
 
 from sparline.dispatch._dispatcher import Dispatcher, DispatchParts
 from sparline.dispatch._retry_budget import RetryBudget
-from sparline.dispatch._waiting_room import WaitingRoom
+from sparline.dispatch._waiting_room import WaitQueue
 
-__all__ = ["DispatchParts", "Dispatcher", "RetryBudget", "WaitingRoom"]
+__all__ = ["DispatchParts", "Dispatcher", "RetryBudget", "WaitQueue"]
--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -7,7 +7,7 @@
 from sparline._metrics import Metrics
 from sparline.backends import AttemptContext, BackendAddress, attempt
 from sparline.dispatch._retry_budget import RetryBudget
-from sparline.dispatch._waiting_room import WaitingRoom
+from sparline.dispatch._waiting_room import WaitQueue
 from sparline.quarantine import CrashTable, Reach, ServerEnds, Verdict
 from sparline.requests import (
     Answer,
@@ -93,7 +93,7 @@
         """Create a dispatcher and report its waiting requests to the load table."""
         self._parts = parts
         self._budget = RetryBudget()
-        self.waiting_room = WaitingRoom(self._reserve_local)
+        self.waiting_room = WaitQueue(self._reserve_local)
         parts.loads.own_waiting = self.waiting_room.counts
 
     def run(self, request: Request, resume_from: int = 0) -> Answer:
--- a/sparline/dispatch/_waiting_room.py
+++ b/sparline/dispatch/_waiting_room.py
@@ -36,7 +36,7 @@
         return self.request.length is Length.SHORT, waited_ms + priority_ms
 
 
-class WaitingRoom:
+class WaitQueue:
     """Queue requests, and give free slots to the most urgent request that fits."""
 
     def __init__(self, place: ReserveSlot) -> None:
--- a/sparline/dispatch/tests/test_waiting_room.py
+++ b/sparline/dispatch/tests/test_waiting_room.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sparline.dispatch import RetryBudget, WaitingRoom
+from sparline.dispatch import RetryBudget, WaitQueue
 from sparline.relay.tests.test_sender import make_request
 from sparline.requests import Length, Request
 
@@ -32,7 +32,7 @@
         free_slots[0] -= 1
         return object()
 
-    room = WaitingRoom(place)
+    room = WaitQueue(place)
     waiters = [
         room.enter(replace(make_request(True), length=length, priority=priority), frozenset())
         for length, priority in waiting
@@ -43,7 +43,7 @@
 
 
 def test_long_request_overtakes_short_one_without_a_slot() -> None:
-    room = WaitingRoom(lambda request, _excluded: object() if request.length is LONG else None)
+    room = WaitQueue(lambda request, _excluded: object() if request.length is LONG else None)
     short = room.enter(replace(make_request(True), length=SHORT), frozenset())
     long = room.enter(replace(make_request(True), length=LONG), frozenset())
     room.pump()
@@ -51,7 +51,7 @@
 
 
 def test_counts_waiting_requests_by_target_and_length() -> None:
-    room = WaitingRoom(lambda *_: None)
+    room = WaitQueue(lambda *_: None)
     for length in (SHORT, LONG, LONG):
         room.enter(replace(make_request(True), length=length), frozenset())
     assert [(one.target, one.short, one.long) for one in room.counts()] == [("m", 1, 2)]
