--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -93,8 +93,8 @@
         """Create a dispatcher and report its waiting requests to the load table."""
         self._parts = parts
         self._budget = RetryBudget()
-        self.waiting_room = WaitQueue(self._reserve_local)
-        parts.loads.own_waiting = self.waiting_room.counts
+        self.wait_queue = WaitQueue(self._reserve_local)
+        parts.loads.own_waiting = self.wait_queue.counts
 
     def run(self, request: Request, resume_from: int = 0) -> Answer:
         """Yield the response parts; the last part is the only `AnswerEnd`."""
@@ -151,18 +151,18 @@
         decision = self._decide(request, excluded)
         if not isinstance(decision, WaitLocally):
             return decision
-        waiter = self.waiting_room.enter(request, excluded)
+        waiter = self.wait_queue.enter(request, excluded)
         try:
             while isinstance(decision, WaitLocally):
                 if not request.still_wanted():
                     return Refuse(Reason.CALLER_GONE, 0)
-                reservation = self.waiting_room.wait(waiter, WAIT_INTERVAL_MS)
+                reservation = self.wait_queue.wait(waiter, WAIT_INTERVAL_MS)
                 if reservation is not None:
                     return reservation
                 decision = self._decide(request, excluded)
             return decision
         finally:
-            self.waiting_room.leave(waiter)
+            self.wait_queue.leave(waiter)
 
     def _decide(
         self, request: Request, excluded: frozenset[str]
@@ -207,7 +207,7 @@
                 yield from _forward(part, request, progress)
         finally:
             reservation.release()
-            self.waiting_room.pump()
+            self.wait_queue.pump()
         raise AssertionError("an attempt finished without an AnswerEnd")
 
     def _record_end(
--- a/sparline/instance/_instance.py
+++ b/sparline/instance/_instance.py
@@ -162,7 +162,7 @@
                 load_reader=self.load_reader,
                 metrics=self.metrics,
                 timing=timing,
-                room_appeared=self.dispatcher.waiting_room.pump,
+                room_appeared=self.dispatcher.wait_queue.pump,
                 crashes=self.crashes,
             )
         )
@@ -284,7 +284,7 @@
         self.crashes.forget_old()
         self.control.beat()
         self.metrics.peers.set(len(self.membership.links()))
-        self.metrics.waiting.set(len(self.dispatcher.waiting_room))
+        self.metrics.waiting.set(len(self.dispatcher.wait_queue))
 
     def _serve_peer(self, connection: Connection) -> None:
         with contextlib.suppress(ConnectionClosed, OSError):
--- a/sparline/tests/test_invariants.py
+++ b/sparline/tests/test_invariants.py
@@ -188,11 +188,11 @@
         backend = instance.loads.all()[0]
         backend.own_in_flight += engine.shape.slots
         task = gevent.spawn(fleet.ask, fleet.question("north"))
-        fleet.until(lambda: len(instance.dispatcher.waiting_room) == 1, "the request waits")
+        fleet.until(lambda: len(instance.dispatcher.wait_queue) == 1, "the request waits")
         task.kill()
         gevent.sleep(0.05)
         backend.own_in_flight -= engine.shape.slots
-        instance.dispatcher.waiting_room.pump()
+        instance.dispatcher.wait_queue.pump()
         fleet.until(lambda: instance.in_flight() == 0, "the request is over")
         return ["a request that nobody waits for was sent"] if engine.ledger.runs else []
 
