--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -207,7 +207,7 @@
                 yield from _forward(part, request, progress)
         finally:
             reservation.release()
-            self.wait_queue.pump()
+            self.wait_queue.place_waiting()
         raise AssertionError("an attempt finished without an AnswerEnd")
 
     def _record_end(
--- a/sparline/dispatch/_waiting_room.py
+++ b/sparline/dispatch/_waiting_room.py
@@ -54,7 +54,7 @@
         """Wait up to `timeout_ms` for a reservation; return None if there is none yet."""
         waiter.placed.wait(timeout_ms / 1000)
         if waiter.reservation is None:
-            self.pump()
+            self.place_waiting()
         return waiter.reservation
 
     def leave(self, waiter: Waiter) -> None:
@@ -62,7 +62,7 @@
         if waiter in self._waiters:
             self._waiters.remove(waiter)
 
-    def pump(self) -> None:
+    def place_waiting(self) -> None:
         """Reserve free slots for waiting requests, most urgent first."""
         full: set[tuple[str, Length]] = set()
         for waiter in sorted(self._waiters, key=Waiter.urgency, reverse=True):
--- a/sparline/dispatch/tests/test_waiting_room.py
+++ b/sparline/dispatch/tests/test_waiting_room.py
@@ -37,7 +37,7 @@
         room.enter(replace(make_request(True), length=length, priority=priority), frozenset())
         for length, priority in waiting
     ]
-    room.pump()
+    room.place_waiting()
     assert [number for number, one in enumerate(waiters) if one.reservation] == placed
     assert len(room) == len(waiting) - len(placed)
 
@@ -46,7 +46,7 @@
     room = WaitQueue(lambda request, _excluded: object() if request.length is LONG else None)
     short = room.enter(replace(make_request(True), length=SHORT), frozenset())
     long = room.enter(replace(make_request(True), length=LONG), frozenset())
-    room.pump()
+    room.place_waiting()
     assert long.reservation and not short.reservation
 
 
--- a/sparline/instance/_instance.py
+++ b/sparline/instance/_instance.py
@@ -162,7 +162,7 @@
                 load_reader=self.load_reader,
                 metrics=self.metrics,
                 timing=timing,
-                room_appeared=self.dispatcher.wait_queue.pump,
+                room_appeared=self.dispatcher.wait_queue.place_waiting,
                 crashes=self.crashes,
             )
         )
--- a/sparline/tests/test_invariants.py
+++ b/sparline/tests/test_invariants.py
@@ -192,7 +192,7 @@
         task.kill()
         gevent.sleep(0.05)
         backend.own_in_flight -= engine.shape.slots
-        instance.dispatcher.wait_queue.pump()
+        instance.dispatcher.wait_queue.place_waiting()
         fleet.until(lambda: instance.in_flight() == 0, "the request is over")
         return ["a request that nobody waits for was sent"] if engine.ledger.runs else []
 
