--- a/sparline/routing/_load_table.py
+++ b/sparline/routing/_load_table.py
@@ -39,7 +39,7 @@
     member: FleetMember  # entry in the platform's list
     report: EngineReport | None = None  # newest load report, None before the first
     report_at_ms: float = 0.0  # when it was made, by this process's clock
-    told_at_ms: float = -1.0  # when the report last sent to siblings was made
+    shared_report_at_ms: float = -1.0  # when the report last sent to siblings was made
     own_in_flight: int = 0  # requests sent by this instance
     own_tokens: int = 0  # prompt tokens of those without a first token yet
     own_long: int = 0  # number of long ones among them
@@ -269,7 +269,7 @@
             or (backend.member.id in reading and _has_unsent_report(backend))
         ]
         for backend in self._backends.values():
-            backend.told_at_ms = backend.report_at_ms
+            backend.shared_report_at_ms = backend.report_at_ms
         return ZoneLoad(sequence, self.own_waiting(), loads)
 
 
@@ -280,7 +280,7 @@
 
 
 def _has_unsent_report(backend: BackendState) -> bool:
-    return backend.report is not None and backend.report_at_ms > backend.told_at_ms
+    return backend.report is not None and backend.report_at_ms > backend.shared_report_at_ms
 
 
 def _unsent_report(backend: BackendState) -> EngineReport | None:
