--- a/sparline/routing/_load_table.py
+++ b/sparline/routing/_load_table.py
@@ -41,7 +41,7 @@
     report_at_ms: float = 0.0  # when it was made, by this process's clock
     shared_report_at_ms: float = -1.0  # when the report last sent to siblings was made
     own_in_flight: int = 0  # requests sent by this instance
-    own_tokens: int = 0  # prompt tokens of those without a first token yet
+    own_waiting_tokens: int = 0  # prompt tokens of those without a first token yet
     own_long: int = 0  # number of long ones among them
     failures: int = 0  # consecutive failures
     ejected_until_ms: float = 0.0  # no new requests before this time
@@ -68,7 +68,9 @@
     @property
     def waiting_tokens(self) -> int:
         """Return the prompt tokens of requests without a first token yet."""
-        return self.own_tokens + sum(load.in_flight_tokens for load in self.fresh_siblings())
+        return self.own_waiting_tokens + sum(
+            load.in_flight_tokens for load in self.fresh_siblings()
+        )
 
     @property
     def long_in_flight(self) -> int:
@@ -118,14 +120,14 @@
         self._started_ms = now_ms()
         self._awaits_first_token = True
         backend.own_in_flight += 1
-        backend.own_tokens += request.prompt_tokens
+        backend.own_waiting_tokens += request.prompt_tokens
         backend.own_long += request.length is Length.LONG
 
     def first_token(self) -> None:
         """Record that prefill has ended; later calls do nothing."""
         if self._awaits_first_token:
             self._awaits_first_token = False
-            self.backend.own_tokens -= self._request.prompt_tokens
+            self.backend.own_waiting_tokens -= self._request.prompt_tokens
 
     def release(self) -> None:
         """Release the slot and update the mean hold time."""
@@ -260,7 +262,7 @@
             BackendLoad(
                 backend_server=backend.member.id,
                 in_flight=backend.own_in_flight,
-                in_flight_tokens=backend.own_tokens,
+                in_flight_tokens=backend.own_waiting_tokens,
                 long_in_flight=backend.own_long,
                 report=_unsent_report(backend) if backend.member.id in reading else None,
             )
