--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -94,7 +94,7 @@
         self._parts = parts
         self._budget = RetryBudget()
         self.wait_queue = WaitQueue(self._reserve_local)
-        parts.loads.own_waiting = self.wait_queue.counts
+        parts.loads.own_waiting_counts = self.wait_queue.counts
 
     def run(self, request: Request, resume_from: int = 0) -> Answer:
         """Yield the response parts; the last part is the only `AnswerEnd`."""
--- a/sparline/routing/_load_table.py
+++ b/sparline/routing/_load_table.py
@@ -149,7 +149,7 @@
     def __init__(self, zone: str) -> None:
         """Create an empty table."""
         self.sharers = 1  # number of live instances in the zone
-        self.own_waiting: Callable[[], list[WaitingCount]] = list  # requests queued here
+        self.own_waiting_counts: Callable[[], list[WaitingCount]] = list  # requests queued here
         self._waiting: dict[InstanceId, tuple[float, list[WaitingCount]]] = {}
         self._zone = zone
         self._backends: dict[BackendServerId, BackendState] = {}
@@ -233,7 +233,7 @@
         """Count the requests for a target that wait at this instance and its siblings."""
         expired_before_ms = now_ms() - SIBLING_LOAD_TTL_MS
         reported = [counts for at_ms, counts in self._waiting.values() if at_ms > expired_before_ms]
-        counts = [one for each in (self.own_waiting(), *reported) for one in each]
+        counts = [one for each in (self.own_waiting_counts(), *reported) for one in each]
         matching = [one for one in counts if one.target == target]
         return QueueDepth(sum(one.short for one in matching), sum(one.long for one in matching))
 
@@ -272,7 +272,7 @@
         ]
         for backend in self._backends.values():
             backend.shared_report_at_ms = backend.report_at_ms
-        return ZoneLoad(sequence, self.own_waiting(), loads)
+        return ZoneLoad(sequence, self.own_waiting_counts(), loads)
 
 
 def _serves(backend: BackendState, kind: TargetKind, target: TargetName, adapter: str) -> bool:
