--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -38,7 +38,8 @@
     best_local,
 )
 
-MAX_ATTEMPTS = 4
+MAX_ATTEMPTS = 4  # per request
+# A queued request repeats its routing decision at this interval.
 WAIT_INTERVAL_MS = 100.0
 
 # Not retried: the caller no longer waits for an answer.
@@ -47,7 +48,8 @@
 # The request may have crashed the backend server.
 _BROKEN_REASONS = (Reason.BROKEN_BEFORE_ANSWER, Reason.BROKEN_IN_ANSWER)
 
-# Attributed to the backend server; other reasons are attributed to the request.
+# Failures of the backend server, which is ejected for a time and excluded from retries; other
+# reasons do not count against it.
 _SERVER_FAULTS = (
     Reason.CONNECT_FAILED,
     Reason.BACKEND_REFUSED,
@@ -83,14 +85,14 @@
     relay: RelaySender  # relays a request to another zone
     connect_timeout_ms: float  # connect timeout at backend servers
     crashes: CrashTable  # crashes of backend servers by request digest
-    ends: ServerEnds  # probes whether a backend server with a broken response has crashed
+    ends: ServerEnds  # probes whether a backend server that broke a response has crashed
 
 
 class Dispatcher:
     """Run requests and give each exactly one `AnswerEnd`."""
 
     def __init__(self, parts: DispatchParts) -> None:
-        """Create a dispatcher and report its waiting requests to the load table."""
+        """Create a dispatcher whose queued requests are counted by the load table."""
         self._parts = parts
         self._budget = RetryBudget()
         self.wait_queue = WaitQueue(self._reserve_local)
@@ -104,7 +106,7 @@
             if self._verdict(request) is Verdict.QUARANTINED:
                 yield unknown(Reason.QUARANTINED)
                 return
-            end = yield from self._try_once(request, progress)
+            end = yield from self._run_attempt(request, progress)
             stop_reason = self._reason_to_stop(request, progress, end)
             if stop_reason is not None:
                 final = _final_end(progress, end, stop_reason)
@@ -128,7 +130,7 @@
         candidates = self._parts.finder.find(request)
         return self._parts.policy.takes_relayed(request, candidates)
 
-    def _try_once(self, request: Request, progress: _Progress) -> AnswerParts:
+    def _run_attempt(self, request: Request, progress: _Progress) -> AnswerParts:
         assert request.repeatable or not progress.may_have_run, (
             f"request {request.request_id} is not repeatable and may have run"
         )
@@ -138,7 +140,7 @@
             case Refuse(reason, retry_after_ms):
                 return not_run(reason, retry_after_ms)
             case RelayToZone(candidate):
-                end = yield from self._send_away(request, candidate, progress)
+                end = yield from self._relay_to_zone(request, candidate, progress)
             case reservation:
                 end = yield from self._run_locally(request, reservation, progress)
         if end.outcome is Outcome.unknown:
@@ -167,7 +169,7 @@
     def _decide(
         self, request: Request, excluded: frozenset[str]
     ) -> Reservation | RelayToZone | Refuse | WaitLocally:
-        """Decide, and reserve the slot at once so that no other request counts on it."""
+        """Decide, and reserve the slot at once so that no other request is given it."""
         if request.left_ms() <= 0:
             return Refuse(Reason.DEADLINE_PASSED, 0)
         candidates = self._parts.finder.find(request, excluded)
@@ -236,7 +238,7 @@
         if self._parts.ends.reach(server_id, address) is Reach.REFUSED:
             self._parts.crashes.note_end(digest, server_id)
 
-    def _send_away(
+    def _relay_to_zone(
         self, request: Request, candidate: RemoteCandidate, progress: _Progress
     ) -> AnswerParts:
         assert request.origin is Origin.CALLER, "a relayed request must not be relayed again"
@@ -264,8 +266,9 @@
             or progress.attempts >= MAX_ATTEMPTS
         ):
             return end.reason
-        if not _may_try_again(request, progress, end):
+        if not _may_retry(request, progress, end):
             return end.reason
+        # Stop retrying a request that is suspected of crashing backend servers.
         if progress.may_have_run and self._verdict(request) is not Verdict.CLEAR:
             return end.reason
         if end.reason in (Reason.DEADLINE_UNREACHABLE, Reason.OVERLOADED, Reason.NO_BACKEND):
@@ -273,7 +276,7 @@
         return None if self._budget.spend() else Reason.RETRY_BUDGET
 
 
-def _may_try_again(request: Request, progress: _Progress, end: AnswerEnd) -> bool:
+def _may_retry(request: Request, progress: _Progress, end: AnswerEnd) -> bool:
     if not request.body.replayable:
         return False
     if end.outcome is Outcome.not_run:
@@ -292,7 +295,7 @@
 def _forward(
     part: AnswerPart, request: Request, progress: _Progress
 ) -> Generator[AnswerPart, None, None]:
-    """Forward a part; a resumed response has a single head and each token once."""
+    """Forward a part and count its token; a resumed response repeats neither head nor tokens."""
     if isinstance(part, AnswerHead):
         if progress.head_forwarded:
             return
--- a/sparline/dispatch/_retry_budget.py
+++ b/sparline/dispatch/_retry_budget.py
@@ -1,7 +1,7 @@
 """A retry budget, which limits retries to a small fraction of all requests."""
 
-RETRIES_PER_REQUEST = 0.2
-MAX_BUDGET = 20.0
+RETRIES_PER_REQUEST = 0.2  # added to the budget by each request
+MAX_BUDGET = 20.0  # number of retries that can be saved up
 
 
 class RetryBudget:
@@ -12,7 +12,7 @@
         self._balance = MAX_BUDGET / 2
 
     def earn(self) -> None:
-        """Add the share of one request."""
+        """Add the fraction of a retry that one request contributes."""
         self._balance = min(self._balance + RETRIES_PER_REQUEST, MAX_BUDGET)
 
     def spend(self) -> bool:
--- a/sparline/dispatch/_waiting_room.py
+++ b/sparline/dispatch/_waiting_room.py
@@ -1,4 +1,7 @@
-"""Requests waiting for a slot; a waiting request has provably not run."""
+"""Queue of requests that wait for a slot.
+
+A request whose attempt ends in the queue was not sent to a backend server in that attempt.
+"""
 
 from collections import Counter
 from collections.abc import Callable
@@ -11,6 +14,7 @@
 from sparline.routing import Reservation
 from sparline.schema._messages import WaitingCount
 
+# One level of priority counts as much as this waiting time.
 MS_PER_PRIORITY = 500.0
 
 ReserveSlot = Callable[[Request, frozenset[str]], Reservation | None]
@@ -27,9 +31,9 @@
     reservation: Reservation | None = None  # the reserved slot
 
     def urgency(self) -> tuple[bool, float]:
-        """Return the sort key: short requests first, then by time waited and priority.
+        """Return a sort key, greater for short requests, then for longer waits and higher priority.
 
-        Long requests do not starve: a fraction of every engine's slots is reserved for them.
+        Long requests do not starve, because some slots of each engine are reserved for them.
         """
         waited_ms = now_ms() - self.arrived_ms
         priority_ms = self.request.priority * MS_PER_PRIORITY
@@ -39,9 +43,9 @@
 class WaitQueue:
     """Queue requests, and give free slots to the most urgent request that fits."""
 
-    def __init__(self, place: ReserveSlot) -> None:
-        """Reserve slots with `place`, which returns None if no slot is free."""
-        self._reserve_slot = place
+    def __init__(self, reserve_slot: ReserveSlot) -> None:
+        """Reserve slots with `reserve_slot`, which returns None if no slot is free."""
+        self._reserve_slot = reserve_slot
         self._waiters: list[Waiter] = []
 
     def enter(self, request: Request, excluded: frozenset[str]) -> Waiter:
--- a/sparline/dispatch/tests/test_quarantine.py
+++ b/sparline/dispatch/tests/test_quarantine.py
@@ -8,7 +8,7 @@
 from sparline.tests.local_fleet import HOST, LocalFleet
 from standins import Engine, Faults
 
-CRASHING_PROMPT = "whoever reads this ends"
+CRASHING_PROMPT = "crashes the engine"
 # Time until a crashed engine has restarted, and until crash reports have spread (s).
 RESTART_S = 0.2
 SPREAD_S = 1.0
--- a/sparline/dispatch/tests/test_waiting_room.py
+++ b/sparline/dispatch/tests/test_waiting_room.py
@@ -21,40 +21,40 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "waiting", "places", "placed"), ORDERS, ids=[row[0] for row in ORDERS]
+    ("name", "waiting", "slots", "placed"), ORDERS, ids=[row[0] for row in ORDERS]
 )
-def test_order(name: str, waiting: list, places: int, placed: list[int]) -> None:
-    free_slots = [places]
+def test_order(name: str, waiting: list, slots: int, placed: list[int]) -> None:
+    free_slots = [slots]
 
-    def place(_request: Request, _excluded: frozenset) -> object | None:
+    def reserve_slot(_request: Request, _excluded: frozenset) -> object | None:
         if not free_slots[0]:
             return None
         free_slots[0] -= 1
         return object()
 
-    room = WaitQueue(place)
+    queue = WaitQueue(reserve_slot)
     waiters = [
-        room.enter(replace(make_request(True), length=length, priority=priority), frozenset())
+        queue.enter(replace(make_request(True), length=length, priority=priority), frozenset())
         for length, priority in waiting
     ]
-    room.place_waiting()
+    queue.place_waiting()
     assert [number for number, one in enumerate(waiters) if one.reservation] == placed
-    assert len(room) == len(waiting) - len(placed)
+    assert len(queue) == len(waiting) - len(placed)
 
 
 def test_long_request_overtakes_short_one_without_a_slot() -> None:
-    room = WaitQueue(lambda request, _excluded: object() if request.length is LONG else None)
-    short = room.enter(replace(make_request(True), length=SHORT), frozenset())
-    long = room.enter(replace(make_request(True), length=LONG), frozenset())
-    room.place_waiting()
+    queue = WaitQueue(lambda request, _excluded: object() if request.length is LONG else None)
+    short = queue.enter(replace(make_request(True), length=SHORT), frozenset())
+    long = queue.enter(replace(make_request(True), length=LONG), frozenset())
+    queue.place_waiting()
     assert long.reservation and not short.reservation
 
 
 def test_counts_waiting_requests_by_target_and_length() -> None:
-    room = WaitQueue(lambda *_: None)
+    queue = WaitQueue(lambda *_: None)
     for length in (SHORT, LONG, LONG):
-        room.enter(replace(make_request(True), length=length), frozenset())
-    assert [(one.target, one.short, one.long) for one in room.counts()] == [("m", 1, 2)]
+        queue.enter(replace(make_request(True), length=length), frozenset())
+    assert [(one.target, one.short, one.long) for one in queue.counts()] == [("m", 1, 2)]
 
 
 def test_retry_budget_limits_retries_to_a_fraction_of_requests() -> None:
--- a/sparline/routing/_candidates.py
+++ b/sparline/routing/_candidates.py
@@ -23,7 +23,7 @@
 
 # One-way network delay between zones of one region.
 ZONE_DELAY_MS = 0.5
-# Typical sizes on the wire, for estimates of transfer cost.
+# Typical sizes on the wire, for estimates of the transfer cost between regions.
 BYTES_PER_PROMPT_TOKEN = 4
 BYTES_PER_OUTPUT_TOKEN = 110
 MS_PER_HOUR = 3_600_000.0
@@ -90,7 +90,7 @@
     ) -> None:
         """Use the load, summary, prefix and capacity tables of one instance."""
         self.catalog = Catalog()  # replaced when the declarations change
-        self.reachable: Callable[[InstanceId], bool] = lambda _id: True  # from own peer links
+        self.reachable: Callable[[InstanceId], bool] = lambda _id: True  # whether a peer link is up
         self._region = region
         self._zone = zone
         self._loads = loads
@@ -170,6 +170,7 @@
     def _estimate_remote(
         self, request: Request, region: str, target: TargetSummary | None
     ) -> tuple[float, float, float]:
+        """Return the time to first token, the total time and the cost in another zone."""
         if target is None:
             return 0.0, 0.0, 0.0
         delay_ms = self.catalog.link_delay_ms(self._region, region) + ZONE_DELAY_MS
@@ -232,7 +233,7 @@
             and one.instance_id in self.catalog.instances
             and self.reachable(InstanceId(one.instance_id))
         ]
-        # The sequence number changes with every summary, which rotates through the zone's members.
+        # The sequence number differs in every summary, so requests rotate through the instances.
         return InstanceId(live[stored.summary.sequence % len(live)]) if live else None
 
 
@@ -242,7 +243,7 @@
 
 
 def room_key(request: Request) -> str:
-    """Return the key under which capacity shares are counted."""
+    """Return the key for shares of capacity: each target and length class has its own."""
     return f"{request.routing_key}/{request.length.value}"
 
 
--- a/sparline/routing/_estimate.py
+++ b/sparline/routing/_estimate.py
@@ -10,8 +10,8 @@
 DEFAULT_SLOTS = 1
 DEFAULT_PREFILL_TOKENS_PER_S = 1000.0
 DEFAULT_TOKEN_INTERVAL_MS = 50.0
-# Fraction of an engine's slots that long requests leave free for short ones, and short requests
-# for waiting long ones, so that neither length class has to wait for all of the other.
+# Fraction of an engine's slots that are reserved for short requests, and likewise for long requests
+# while some wait, so that neither length class has to wait for all requests of the other.
 RESERVED_FRACTION = 0.25
 
 
@@ -67,10 +67,11 @@
 def has_room(request: Request, backend: BackendState, slots: int, zone: ZoneView) -> bool:
     """Return whether a request may take a slot now.
 
-    Load reported by siblings is delayed, so the total alone would leave slots empty or fill them
-    twice. Each instance may therefore always fill its own share with short requests, which the
-    engine runs before long ones. Long requests take a slot where no short request waits, or one
-    of the slots reserved for them, so that they do not starve.
+    Load reported by sibling instances is delayed: by the zone's total alone, instances would leave
+    slots empty or assign them twice. Each instance may therefore always fill its own share of the
+    slots with short requests, which the engine runs before long ones. A long request takes a slot
+    if no short request waits, or one of the slots reserved for long requests, which therefore do
+    not starve.
     """
     if request.kind is TargetKind.SERVICE:
         return backend.in_flight < slots or backend.own_in_flight < max(slots // zone.sharers, 1)
@@ -95,7 +96,7 @@
 def queue_wait_ms(
     queue: QueueDepth, length: Length, backends: list[BackendState], service: Service | None
 ) -> float:
-    """Return the time until the queued requests that are placed first have a slot."""
+    """Return the time until all queued requests that precede one of this length have a slot."""
     slots = sum(backend_speed(backend, service).slots for backend in backends)
     if not slots:
         return 0.0
--- a/sparline/routing/_load_table.py
+++ b/sparline/routing/_load_table.py
@@ -41,13 +41,14 @@
     report_at_ms: float = 0.0  # when it was made, by this process's clock
     shared_report_at_ms: float = -1.0  # when the report last sent to siblings was made
     own_in_flight: int = 0  # requests sent by this instance
-    own_waiting_tokens: int = 0  # prompt tokens of those without a first token yet
-    own_long: int = 0  # number of long ones among them
+    own_waiting_tokens: int = 0  # prompt tokens of own requests without a first token yet
+    own_long: int = 0  # long requests among those in flight
     failures: int = 0  # consecutive failures
     ejected_until_ms: float = 0.0  # no new requests before this time
     unreachable_at_ms: float = 0.0  # when a connection last failed, 0 after a later report
     short_hold_ms: float = DEFAULT_SHORT_HOLD_MS  # mean time a short request holds a slot
     long_hold_ms: float = DEFAULT_LONG_HOLD_MS  # mean time a long request holds a slot
+    # Load from each sibling instance, with the time (ms) at which it was received.
     siblings: dict[InstanceId, tuple[float, BackendLoad]] = field(default_factory=dict)
 
     def fresh_siblings(self) -> Iterable[BackendLoad]:
@@ -150,10 +151,11 @@
         """Create an empty table."""
         self.sharers = 1  # number of live instances in the zone
         self.own_waiting_counts: Callable[[], list[WaitingCount]] = list  # requests queued here
+        # Requests queued at each sibling instance, with the time (ms) of its message.
         self._waiting: dict[InstanceId, tuple[float, list[WaitingCount]]] = {}
         self._zone = zone
         self._backends: dict[BackendServerId, BackendState] = {}
-        self._sequences: dict[InstanceId, int] = {}
+        self._sequences: dict[InstanceId, int] = {}  # of the newest message from each sibling
 
     def refresh(self, catalog: Catalog) -> None:
         """Apply the platform's list; a backend server of unchanged incarnation keeps its state."""
@@ -223,7 +225,7 @@
                 self.note_report(BackendServerId(one.backend_server), one.report)
 
     def forget_sibling(self, instance_id: InstanceId) -> None:
-        """Drop the load of a lost or restarted sibling."""
+        """Drop the load received from a lost or restarted sibling."""
         self._sequences.pop(instance_id, None)
         self._waiting.pop(instance_id, None)
         for backend in self._backends.values():
@@ -244,7 +246,7 @@
         backend.ejected_until_ms = now_ms() + ejection_ms
 
     def note_unreachable(self, backend: BackendState) -> None:
-        """Eject an engine until its next load report, and a plain service for a backoff time."""
+        """Eject an engine until its next load report, and a service, which has none, by backoff."""
         if backend.member.role is FleetRole.engine:
             backend.unreachable_at_ms = now_ms()
         else:
@@ -255,20 +257,20 @@
         backend.failures = 0
         backend.ejected_until_ms = 0.0
 
-    def own_load(self, sequence: int, read_here: Iterable[BackendServerId]) -> ZoneLoad:
-        """Build the load message for siblings, with new reports of the servers in `read_here`."""
-        reading = set(read_here)
+    def own_load(self, sequence: int, polled: Iterable[BackendServerId]) -> ZoneLoad:
+        """Build the load message for siblings, with new reports of the servers polled here."""
+        polled_ids = set(polled)
         loads = [
             BackendLoad(
                 backend_server=backend.member.id,
                 in_flight=backend.own_in_flight,
                 in_flight_tokens=backend.own_waiting_tokens,
                 long_in_flight=backend.own_long,
-                report=_unsent_report(backend) if backend.member.id in reading else None,
+                report=_unsent_report(backend) if backend.member.id in polled_ids else None,
             )
             for backend in self._backends.values()
             if backend.own_in_flight
-            or (backend.member.id in reading and _has_unsent_report(backend))
+            or (backend.member.id in polled_ids and _has_unsent_report(backend))
         ]
         for backend in self._backends.values():
             backend.shared_report_at_ms = backend.report_at_ms
--- a/sparline/routing/_policy.py
+++ b/sparline/routing/_policy.py
@@ -9,18 +9,21 @@
 from sparline.routing._summaries import ROOM_WAIT_MS
 from sparline.schema._declarations import Objective
 
-# Minimum advantage of a remote zone over the local one; damps fluctuations of the estimates.
+# Minimum advantage of a remote zone over the local one, the greater of the two, so that small
+# fluctuations of the estimates do not move requests to other zones.
 REMOTE_MARGIN_MS = 20.0
 REMOTE_MARGIN_FRACTION = 0.15
-# A request stays in the local zone while its estimated wait is within this fraction of the
-# target time to first token (tail_latency objective), or of the remaining deadline (cost).
+# A request stays in the local zone while its estimated wait is within this fraction of the target
+# time to first token (tail_latency objective), or of the remaining time to the deadline (cost
+# objective, where the whole target time is always allowed).
 TAIL_MAX_WAIT_FRACTION = 0.5
 COST_MAX_WAIT_FRACTION = 0.25
-# A cached prefix justifies a longer wait, up to this fraction of the prefill time that it saves.
+# A request may go to a slower backend server that has its prefix cached. The additional time to
+# first token is limited to this fraction of the prefill time saved, plus the slack.
 AFFINITY_FRACTION = 0.5
 AFFINITY_SLACK_MS = 5.0
 MIN_RETRY_AFTER_MS = 100.0
-# Higher than any priority that a caller can set.
+# Exceeds every priority that a caller can set.
 SHORT_PRIORITY_BOOST = 10
 
 
@@ -112,7 +115,7 @@
         return min(usable, key=lambda candidate: candidate.ttft_ms, default=None)
 
     def _max_local_wait_ms(self, candidates: Candidates, left_ms: float) -> float:
-        """Return the longest wait for which a request stays in this zone, close to its caches."""
+        """Return the longest wait for which a request stays in this zone, where caches are warm."""
         if candidates.objective is Objective.tail_latency:
             return candidates.ttft_target_ms * TAIL_MAX_WAIT_FRACTION
         return max(candidates.ttft_target_ms, COST_MAX_WAIT_FRACTION * left_ms)
@@ -146,7 +149,7 @@
 
 
 def _affinity(request: Request, candidate: LocalCandidate) -> int:
-    """Return a rendezvous hash score, the same at every instance of the zone."""
+    """Return a rendezvous hash score, which is the same at every instance of the zone."""
     return hash64(f"{request.prefix_keys[0]}/{candidate.estimate.backend.member.id}")
 
 
@@ -156,6 +159,7 @@
 
 
 def _refuse(candidates: Candidates, overdue_ms: float) -> Refuse:
+    """Refuse a request; `overdue_ms` is infinite if there is no local candidate."""
     if overdue_ms != float("inf"):
         return Refuse(Reason.DEADLINE_UNREACHABLE, max(overdue_ms, MIN_RETRY_AFTER_MS))
     busy = [candidate for candidate in candidates.remote if candidate.verdict is Verdict.NO_SHARE]
--- a/sparline/routing/_prefixes.py
+++ b/sparline/routing/_prefixes.py
@@ -6,10 +6,10 @@
 
 from sparline._ids import BackendServerId
 
-CHARS_PER_TOKEN = 4
+CHARS_PER_TOKEN = 4  # assumed average
 # Prefix lengths that are hashed, in characters.
 PREFIX_LENGTHS = (256, 1024, 4096, 16_384)
-MAX_PREFIXES = 20_000
+MAX_PREFIXES = 20_000  # the least recently used ones are dropped beyond this number
 
 
 def prefix_keys(organisation: str, target: str, prompt: str) -> tuple[int, ...]:
--- a/sparline/routing/_summaries.py
+++ b/sparline/routing/_summaries.py
@@ -21,7 +21,7 @@
     ZoneSummary,
 )
 
-# Summaries older than this are ignored.
+# Older summaries have expired and are ignored.
 SUMMARY_TTL_MS = 15_000.0
 # Reported as the wait where no backend server takes work.
 NO_BACKEND_WAIT_MS = 10_000.0
@@ -44,17 +44,17 @@
     """Hold a received summary with the times that it was made and received."""
 
     summary: ZoneSummary  # the summary as received
-    made_at_ms: float  # latest time that it can have been made, by this process's clock
+    made_at_ms: float  # latest time at which it can have been made, by this process's clock
     received_ms: float  # when this instance received it
-    first_seen_ms: float  # start of the unbroken series of current summaries
+    first_seen_ms: float  # when the zone was first seen, or seen again after its summary expired
 
     def age_ms(self) -> float:
-        """Return the age of the content."""
+        """Return the time since the summary was made."""
         return now_ms() - self.made_at_ms
 
 
 def with_added_age(summary: ZoneSummary, elapsed_ms: float) -> ZoneSummary:
-    """Return a copy whose age is increased, for forwarding."""
+    """Return a copy whose age is increased, for passing on to other instances."""
     return msgspec.structs.replace(summary, age_ms=int(summary.age_ms + elapsed_ms))
 
 
@@ -137,7 +137,7 @@
     """Build the summary of this zone that is sent to other zones."""
     targets = [one for name in catalog.models for one in _model_targets(name, table, catalog)]
     targets += [one for name in catalog.services for one in _service_targets(name, table, catalog)]
-    live = [one for one in members if one.state is not InstanceState.starting]
+    started = [one for one in members if one.state is not InstanceState.starting]
     return ZoneSummary(
         region=reporter.region,
         availability_zone=reporter.zone,
@@ -145,7 +145,7 @@
         reporter_incarnation=reporter.incarnation,
         sequence=sequence,
         age_ms=0,
-        members=live,
+        members=started,
         targets=targets,
     )
 
@@ -179,15 +179,15 @@
     key: str, name: TargetName, backends: list[BackendState], table: LoadTable, catalog: Catalog
 ) -> TargetSummary:
     service = catalog.services.get(name)
-    working = [backend for backend in backends if backend.takes_work]
-    speeds = [backend_speed(backend, service) for backend in working]
+    available = [backend for backend in backends if backend.takes_work]
+    speeds = [backend_speed(backend, service) for backend in available]
     queue = table.queue(key)
     return TargetSummary(
         target=key,
-        versions=sorted({version for backend in working for version in backend.versions(name)}),
+        versions=sorted({version for backend in available for version in backend.versions(name)}),
         slots=sum(speed.slots for speed in speeds),
-        short=_room_summary(working, service, queue, Length.SHORT),
-        long=_room_summary(working, service, queue, Length.LONG),
+        short=_room_summary(available, service, queue, Length.SHORT),
+        long=_room_summary(available, service, queue, Length.LONG),
         prompt_token_us=_min_us(speed.ms_per_prompt_token for speed in speeds),
         token_interval_us=_min_us(speed.token_interval_ms for speed in speeds),
     )
--- a/sparline/routing/tests/test_policy.py
+++ b/sparline/routing/tests/test_policy.py
@@ -107,7 +107,7 @@
 
 
 def test_cost_objective_chooses_the_cheaper_zone() -> None:
-    remote_candidates = (remote(40, zone="dear", cost=2.0), remote(60, zone="cheap", cost=1.0))
+    remote_candidates = (remote(40, zone="expensive", cost=2.0), remote(60, zone="cheap", cost=1.0))
     decision = EstimatePolicy().decide(
         make_request(True), Candidates((), remote_candidates, COST, 310)
     )
--- a/sparline/tests/test_invariants.py
+++ b/sparline/tests/test_invariants.py
@@ -75,7 +75,7 @@
         # The program itself stops rather than send it on.
         request = replace(_some_request(), origin=Origin.RELAY)
         with pytest.raises(AssertionError, match="relayed again"):
-            list(instance.dispatcher._send_away(request, usable[0], _dispatcher._Progress(0)))
+            list(instance.dispatcher._relay_to_zone(request, usable[0], _dispatcher._Progress(0)))
         return ["a relayed request could be relayed again"]
 
 
@@ -296,16 +296,16 @@
 
 
 def _always_again(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(_dispatcher, "_may_try_again", lambda *_: True)
+    patch.setattr(_dispatcher, "_may_retry", lambda *_: True)
     # The program's own check stops it too; both are off here.
     patch.setattr(_dispatcher.Dispatcher, "_reason_to_stop", _retry_thrice)
-    original = _dispatcher.Dispatcher._try_once
+    original = _dispatcher.Dispatcher._run_attempt
 
     def unchecked(self: object, request: object, progress: object) -> object:
         progress.may_have_run = False
         return original(self, request, progress)
 
-    patch.setattr(_dispatcher.Dispatcher, "_try_once", unchecked)
+    patch.setattr(_dispatcher.Dispatcher, "_run_attempt", unchecked)
 
 
 def _retry_thrice(_self: object, _request: object, progress: object, end: object) -> object:
