--- a/benchmarks/_baselines.py
+++ b/benchmarks/_baselines.py
@@ -6,6 +6,7 @@
 from sparline.requests import Reason, Request
 from sparline.routing import (
     Candidates,
+    CandidateVerdict,
     Decision,
     EstimatePolicy,
     LocalCandidate,
@@ -14,11 +15,10 @@
     RelayToZone,
     RemoteCandidate,
     RunLocally,
-    Verdict,
 )
 
 # Zones that a baseline may send to: it knows no share of room.
-_OPEN = (Verdict.USABLE, Verdict.NO_SHARE)
+_OPEN = (CandidateVerdict.USABLE, CandidateVerdict.NO_SHARE)
 NO_BACKEND_RETRY_MS = 1000.0
 
 
@@ -91,7 +91,11 @@
 
 
 def _choices(candidates: Candidates) -> list[LocalCandidate | RemoteCandidate]:
-    local = [one for one in candidates.local if one.verdict in (Verdict.USABLE, Verdict.NO_ROOM)]
+    local = [
+        one
+        for one in candidates.local
+        if one.verdict in (CandidateVerdict.USABLE, CandidateVerdict.NO_ROOM)
+    ]
     remote = [one for one in candidates.remote if one.verdict in _OPEN]
     # A zone stands for as many backend servers as this one has.
     return [*local, *(one for one in remote for _ in range(max(len(local), 1)))]
--- a/sparline/relay/tests/test_sender.py
+++ b/sparline/relay/tests/test_sender.py
@@ -26,7 +26,13 @@
     RequestBody,
     TargetKind,
 )
-from sparline.routing import RemoteCandidate, SpareCapacity, SummaryTable, Verdict, room_key
+from sparline.routing import (
+    CandidateVerdict,
+    RemoteCandidate,
+    SpareCapacity,
+    SummaryTable,
+    room_key,
+)
 from sparline.schema._fleet import FleetMember
 from sparline.schema._messages import (
     Hello,
@@ -200,7 +206,9 @@
     spare = SpareCapacity(random.Random(1))
     sender = RelaySender(membership, spare, Metrics(), Dialer("127.0.0.1", 300))
     sender.is_region_allowed = lambda _rule, _region: True
-    candidate = RemoteCandidate("south", ZoneName("zone-b"), PEER, 1.0, 1.0, 0.0, Verdict.USABLE)
+    candidate = RemoteCandidate(
+        "south", ZoneName("zone-b"), PEER, 1.0, 1.0, 0.0, CandidateVerdict.USABLE
+    )
     spare.accepted(candidate.zone, room_key(request))
     return list(sender.send(request, candidate, 0))
 
--- a/sparline/routing/_candidates.py
+++ b/sparline/routing/_candidates.py
@@ -30,7 +30,7 @@
 BYTES_PER_GB = 1_000_000_000.0
 
 
-class Verdict(StrEnum):
+class CandidateVerdict(StrEnum):
     """Say whether a candidate is usable, or why it is skipped."""
 
     USABLE = "usable"
@@ -50,7 +50,7 @@
 
     estimate: LocalEstimate  # estimated wait and latency
     cost: float  # price of the request there
-    verdict: Verdict  # whether it may be used now
+    verdict: CandidateVerdict  # whether it may be used now
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
     ttft_ms: float  # estimated time to first token, including network delay
     total_ms: float  # estimated time to the end
     cost: float  # price of the request there, including transfer
-    verdict: Verdict  # whether it may be used now
+    verdict: CandidateVerdict  # whether it may be used now
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,11 +126,11 @@
             )
             estimate = estimate_local(request, backend, service, cached, zone)
             slots = backend_speed(backend, service).slots
-            verdict = Verdict.USABLE if estimate.has_room else Verdict.NO_ROOM
+            verdict = CandidateVerdict.USABLE if estimate.has_room else CandidateVerdict.NO_ROOM
             if member.id in excluded:
-                verdict = Verdict.EXCLUDED
+                verdict = CandidateVerdict.EXCLUDED
             elif self._region not in self.catalog.allowed_regions(request.residency_rule):
-                verdict = Verdict.NOT_ALLOWED
+                verdict = CandidateVerdict.NOT_ALLOWED
             cost = self._engine_cost(self._region, estimate.total_ms, slots)
             candidates.append(LocalCandidate(estimate, cost, verdict))
         return tuple(candidates)
@@ -199,24 +199,24 @@
         target: TargetSummary | None,
         instance_id: InstanceId | None,
         excluded: frozenset[str],
-    ) -> Verdict:
+    ) -> CandidateVerdict:
         summary = stored.summary
         if request.origin is Origin.RELAY:
-            return Verdict.RELAYED
+            return CandidateVerdict.RELAYED
         if summary.region not in self.catalog.allowed_regions(request.residency_rule):
-            return Verdict.NOT_ALLOWED
+            return CandidateVerdict.NOT_ALLOWED
         if target is None:
-            return Verdict.NO_TARGET
+            return CandidateVerdict.NO_TARGET
         if summary.availability_zone in excluded:
-            return Verdict.EXCLUDED
+            return CandidateVerdict.EXCLUDED
         if instance_id is None:
-            return Verdict.NO_INSTANCE
+            return CandidateVerdict.NO_INSTANCE
         senders = self._sender_count(summary.availability_zone)
         if not self._spare.available(
             stored, room_key(request), room_for(request.length, target).room, senders
         ):
-            return Verdict.NO_SHARE
-        return Verdict.USABLE
+            return CandidateVerdict.NO_SHARE
+        return CandidateVerdict.USABLE
 
     def _sender_count(self, zone: str) -> int:
         """Return the number of instances that may send to a zone."""
--- a/sparline/routing/_policy.py
+++ b/sparline/routing/_policy.py
@@ -5,7 +5,12 @@
 
 from sparline._hashing import hash64
 from sparline.requests import Length, Reason, Request
-from sparline.routing._candidates import Candidates, LocalCandidate, RemoteCandidate, Verdict
+from sparline.routing._candidates import (
+    Candidates,
+    CandidateVerdict,
+    LocalCandidate,
+    RemoteCandidate,
+)
 from sparline.routing._summaries import ROOM_WAIT_MS
 from sparline.schema._declarations import Objective
 
@@ -98,7 +103,7 @@
         usable = [
             candidate
             for candidate in candidates.remote
-            if candidate.verdict is Verdict.USABLE and candidate.total_ms <= left_ms
+            if candidate.verdict is CandidateVerdict.USABLE and candidate.total_ms <= left_ms
         ]
         if local is not None and local.estimate.total_ms <= left_ms:
             if local.estimate.wait_ms <= self._max_local_wait_ms(candidates, left_ms):
@@ -134,7 +139,9 @@
 
 def best_local(request: Request, candidates: Candidates) -> LocalCandidate | None:
     """Return the best usable backend server; prompts that share a prefix stay together."""
-    usable = [candidate for candidate in candidates.local if candidate.verdict is Verdict.USABLE]
+    usable = [
+        candidate for candidate in candidates.local if candidate.verdict is CandidateVerdict.USABLE
+    ]
     if not usable:
         return None
     fastest = min(usable, key=lambda candidate: candidate.estimate.ttft_ms)
@@ -154,7 +161,9 @@
 
 
 def _shortest_wait(candidates: Candidates) -> LocalCandidate | None:
-    full = [candidate for candidate in candidates.local if candidate.verdict is Verdict.NO_ROOM]
+    full = [
+        candidate for candidate in candidates.local if candidate.verdict is CandidateVerdict.NO_ROOM
+    ]
     return min(full, key=lambda candidate: candidate.estimate.ttft_ms, default=None)
 
 
@@ -162,7 +171,11 @@
     """Refuse a request; `overdue_ms` is infinite if there is no local candidate."""
     if overdue_ms != float("inf"):
         return Refuse(Reason.DEADLINE_UNREACHABLE, max(overdue_ms, MIN_RETRY_AFTER_MS))
-    busy = [candidate for candidate in candidates.remote if candidate.verdict is Verdict.NO_SHARE]
+    busy = [
+        candidate
+        for candidate in candidates.remote
+        if candidate.verdict is CandidateVerdict.NO_SHARE
+    ]
     if busy:
         return Refuse(
             Reason.OVERLOADED, max(min(candidate.ttft_ms for candidate in busy), MIN_RETRY_AFTER_MS)
--- a/sparline/routing/tests/test_policy.py
+++ b/sparline/routing/tests/test_policy.py
@@ -11,6 +11,7 @@
 from sparline.routing import (
     BackendState,
     Candidates,
+    CandidateVerdict,
     EstimatePolicy,
     LocalCandidate,
     Refuse,
@@ -18,7 +19,6 @@
     RemoteCandidate,
     RunLocally,
     SpareCapacity,
-    Verdict,
     WaitLocally,
     best_local,
     prefix_keys,
@@ -30,7 +30,11 @@
 from sparline.schema._fleet import FleetMember
 from sparline.schema._messages import BackendLoad, InstanceState, MemberBrief, ZoneSummary
 
-USABLE, NO_ROOM, NO_SHARE = Verdict.USABLE, Verdict.NO_ROOM, Verdict.NO_SHARE
+USABLE, NO_ROOM, NO_SHARE = (
+    CandidateVerdict.USABLE,
+    CandidateVerdict.NO_ROOM,
+    CandidateVerdict.NO_SHARE,
+)
 TAIL, COST = Objective.tail_latency, Objective.cost
 
 
@@ -50,7 +54,7 @@
 
 
 def local(
-    wait_ms: float, verdict: Verdict = USABLE, name: str = "e", saving_ms: float = 0.0
+    wait_ms: float, verdict: CandidateVerdict = USABLE, name: str = "e", saving_ms: float = 0.0
 ) -> LocalCandidate:
     estimate = LocalEstimate(
         backend(name), wait_ms, wait_ms + 20, wait_ms + 100, saving_ms, verdict is USABLE
@@ -59,7 +63,7 @@
 
 
 def remote(
-    ttft_ms: float, verdict: Verdict = USABLE, zone: str = "zone-b", cost: float = 1.0
+    ttft_ms: float, verdict: CandidateVerdict = USABLE, zone: str = "zone-b", cost: float = 1.0
 ) -> RemoteCandidate:
     return RemoteCandidate(
         "south", ZoneName(zone), InstanceId("b-0"), ttft_ms, ttft_ms + 80, cost, verdict
@@ -80,8 +84,8 @@
     ("no local candidate", [], [remote(40)], COST, 1000, RelayToZone),
     ("no candidate", [], [], TAIL, 1000, Refuse),
     ("only a remote zone with its share used up", [], [remote(40, NO_SHARE)], TAIL, 1000, Refuse),
-    ("remote region not allowed", [local(400, NO_ROOM)], [remote(1, Verdict.NOT_ALLOWED)], TAIL, 1000, WaitLocally),
-    ("already relayed", [local(400, NO_ROOM)], [remote(1, Verdict.RELAYED)], TAIL, 1000, WaitLocally),
+    ("remote region not allowed", [local(400, NO_ROOM)], [remote(1, CandidateVerdict.NOT_ALLOWED)], TAIL, 1000, WaitLocally),
+    ("already relayed", [local(400, NO_ROOM)], [remote(1, CandidateVerdict.RELAYED)], TAIL, 1000, WaitLocally),
 ]  # fmt: skip
 
 
--- a/sparline/tests/test_invariants.py
+++ b/sparline/tests/test_invariants.py
@@ -21,7 +21,7 @@
 from sparline.instance._records_sync import RecordsSync
 from sparline.relay import _sender
 from sparline.requests import Origin, Outcome, RequestLedger, not_run
-from sparline.routing import BackendState, CandidateFinder, RemoteCandidate, Verdict
+from sparline.routing import BackendState, CandidateFinder, CandidateVerdict, RemoteCandidate
 from sparline.tests.local_fleet import LocalFleet
 
 Broken = list[str]
@@ -82,7 +82,7 @@
 def _usable_away(instance: Instance, origin: Origin) -> list[RemoteCandidate]:
     request = replace(_some_request(), origin=origin)
     found = instance.finder.find(request)
-    return [one for one in found.remote if one.verdict is Verdict.USABLE]
+    return [one for one in found.remote if one.verdict is CandidateVerdict.USABLE]
 
 
 def _some_request() -> object:
@@ -319,7 +319,7 @@
 def _no_relay_verdict(patch: pytest.MonkeyPatch) -> None:
     original = CandidateFinder._remote_verdict
 
-    def verdict(self: object, request: object, *rest: object) -> Verdict:
+    def verdict(self: object, request: object, *rest: object) -> CandidateVerdict:
         return original(self, replace(request, origin=Origin.CALLER), *rest)
 
     patch.setattr(CandidateFinder, "_remote_verdict", verdict)
