--- a/benchmarks/_baselines.py
+++ b/benchmarks/_baselines.py
@@ -38,7 +38,7 @@
     ) -> LocalCandidate | RemoteCandidate | None:
         return self._chance.choice(choices) if choices else None
 
-    def takes_relayed(self, _request: Request, candidates: Candidates) -> bool:
+    def accepts_relayed(self, _request: Request, candidates: Candidates) -> bool:
         """Take everything that some backend server here could run."""
         return bool(candidates.local)
 
--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -124,11 +124,11 @@
         digest = request.digest()
         return Verdict.CLEAR if digest is None else self._parts.crashes.verdict(digest)
 
-    def takes_relayed(self, request: Request) -> bool:
+    def accepts_relayed(self, request: Request) -> bool:
         """Return whether a request relayed from another zone may run here now."""
         assert request.origin is Origin.RELAY, "the request was not relayed from another zone"
         candidates = self._parts.finder.find(request)
-        return self._parts.policy.takes_relayed(request, candidates)
+        return self._parts.policy.accepts_relayed(request, candidates)
 
     def _run_attempt(self, request: Request, progress: _Progress) -> AnswerParts:
         assert request.repeatable or not progress.may_have_run, (
--- a/sparline/relay/_receiver.py
+++ b/sparline/relay/_receiver.py
@@ -110,7 +110,7 @@
             return Reason.LEAVING
         if not request.still_wanted():
             return Reason.CALLER_GONE
-        return None if self._dispatcher.takes_relayed(request) else Reason.PEER_NO_ROOM
+        return None if self._dispatcher.accepts_relayed(request) else Reason.PEER_NO_ROOM
 
     def _build_request(
         self, connection: Connection, offer: RelayOffer, deadline_at_ms: float, body: RelayBody
--- a/sparline/routing/_policy.py
+++ b/sparline/routing/_policy.py
@@ -71,7 +71,7 @@
         """Return what to do with a request of this zone's callers."""
         ...
 
-    def takes_relayed(self, request: Request, candidates: Candidates) -> bool:
+    def accepts_relayed(self, request: Request, candidates: Candidates) -> bool:
         """Return whether to accept a request relayed from another zone."""
         ...
 
@@ -125,7 +125,7 @@
             return candidates.ttft_target_ms * TAIL_MAX_WAIT_FRACTION
         return max(candidates.ttft_target_ms, COST_MAX_WAIT_FRACTION * left_ms)
 
-    def takes_relayed(self, request: Request, candidates: Candidates) -> bool:
+    def accepts_relayed(self, request: Request, candidates: Candidates) -> bool:
         """Accept a relayed request if its wait here is within `ROOM_WAIT_MS` and its deadline."""
         local = best_local(request, candidates) or _shortest_wait(candidates)
         if local is None or local.estimate.wait_ms > ROOM_WAIT_MS:
--- a/sparline/routing/tests/test_policy.py
+++ b/sparline/routing/tests/test_policy.py
@@ -135,7 +135,9 @@
 ) -> None:
     request = replace(make_request(True, 2000), origin=Origin.RELAY)
     assert (
-        EstimatePolicy().takes_relayed(request, Candidates(tuple(local_candidates), (), TAIL, 310))
+        EstimatePolicy().accepts_relayed(
+            request, Candidates(tuple(local_candidates), (), TAIL, 310)
+        )
         is taken
     )
 
