--- a/sparline/routing/__init__.py
+++ b/sparline/routing/__init__.py
@@ -24,8 +24,8 @@
 from sparline.routing._prefixes import CHARS_PER_TOKEN, PrefixMap, prefix_keys
 from sparline.routing._spare_room import SpareCapacity
 from sparline.routing._summaries import (
+    MAX_RELAYED_WAIT_MS,
     NO_BACKEND_WAIT_MS,
-    ROOM_WAIT_MS,
     Reporter,
     SummaryTable,
     SummaryVerdict,
@@ -36,8 +36,8 @@
 
 __all__ = [
     "CHARS_PER_TOKEN",
+    "MAX_RELAYED_WAIT_MS",
     "NO_BACKEND_WAIT_MS",
-    "ROOM_WAIT_MS",
     "BackendState",
     "CandidateFinder",
     "CandidateVerdict",
--- a/sparline/routing/_policy.py
+++ b/sparline/routing/_policy.py
@@ -11,7 +11,7 @@
     LocalCandidate,
     RemoteCandidate,
 )
-from sparline.routing._summaries import ROOM_WAIT_MS
+from sparline.routing._summaries import MAX_RELAYED_WAIT_MS
 from sparline.schema._declarations import Objective
 
 # Minimum advantage of a remote zone over the local one, the greater of the two, so that small
@@ -126,9 +126,9 @@
         return max(candidates.ttft_target_ms, COST_MAX_WAIT_FRACTION * left_ms)
 
     def accepts_relayed(self, request: Request, candidates: Candidates) -> bool:
-        """Accept a relayed request if its wait here is within `ROOM_WAIT_MS` and its deadline."""
+        """Accept a relayed request if its wait here is within `MAX_RELAYED_WAIT_MS` and its deadline."""
         local = best_local(request, candidates) or _shortest_wait(candidates)
-        if local is None or local.estimate.wait_ms > ROOM_WAIT_MS:
+        if local is None or local.estimate.wait_ms > MAX_RELAYED_WAIT_MS:
             return False
         return local.estimate.total_ms <= request.left_ms()
 
--- a/sparline/routing/_summaries.py
+++ b/sparline/routing/_summaries.py
@@ -26,7 +26,7 @@
 # Reported as the wait where no backend server takes work.
 NO_BACKEND_WAIT_MS = 10_000.0
 # A zone accepts relayed requests as long as their wait there does not exceed this.
-ROOM_WAIT_MS = 200.0
+MAX_RELAYED_WAIT_MS = 200.0
 US_PER_MS = 1000
 
 
@@ -200,7 +200,7 @@
 def _room_summary(
     backends: list[BackendState], service: Service | None, queue: QueueDepth, length: Length
 ) -> RoomSummary:
-    """Return how many relayed requests fit before their wait exceeds `ROOM_WAIT_MS`."""
+    """Return how many relayed requests fit before their wait exceeds `MAX_RELAYED_WAIT_MS`."""
     queue_ms = queue_wait_ms(queue, length, backends, service)
     rooms = [_backend_room(backend, service, queue_ms, length) for backend in backends]
     wait_ms = wait_for_target(backends, service, queue, length)
@@ -212,6 +212,6 @@
 ) -> float:
     speed = backend_speed(backend, service)
     free = max(speed.slots - reserved_slots(speed.slots) - backend.in_flight, 0)
-    remaining_wait_ms = max(ROOM_WAIT_MS - backend_wait_ms(backend, speed) - queue_ms, 0)
+    remaining_wait_ms = max(MAX_RELAYED_WAIT_MS - backend_wait_ms(backend, speed) - queue_ms, 0)
     hold_ms = backend.long_hold_ms if length is Length.LONG else backend.short_hold_ms
     return (0 if queue_ms else free) + speed.slots * remaining_wait_ms / max(hold_ms, 1.0)
