--- a/sparline/entry/_locate.py
+++ b/sparline/entry/_locate.py
@@ -85,7 +85,9 @@
             return 0.0
         if member.availability_zone == self._membership.self_hello.availability_zone:
             kind = TargetKind.SERVICE if target in self.catalog.services else TargetKind.ENGINE
-            working = [one for one in self._loads.holders(kind, target) if one.takes_work]
+            working = [
+                one for one in self._loads.servers_for_target(kind, target) if one.takes_work
+            ]
             queue = self._loads.queue(target)
             service = self.catalog.services.get(target)
             return wait_for_target(working, service, queue, Length.SHORT)
--- a/sparline/routing/_load_table.py
+++ b/sparline/routing/_load_table.py
@@ -188,7 +188,7 @@
             and _serves(backend, request.kind, request.target, request.adapter)
         ]
 
-    def holders(
+    def servers_for_target(
         self, kind: TargetKind, target: TargetName, adapter: str = ""
     ) -> list[BackendState]:
         """Return the backend servers that serve a target, including those that take no new work."""
--- a/sparline/routing/_summaries.py
+++ b/sparline/routing/_summaries.py
@@ -154,7 +154,7 @@
     adapters = ["", *(adapter.name for adapter in catalog.models[name].adapters)]
     summaries = []
     for adapter in adapters:
-        backends = table.holders(TargetKind.ENGINE, name, adapter)
+        backends = table.servers_for_target(TargetKind.ENGINE, name, adapter)
         key = f"{name}+{adapter}" if adapter else name
         if backends:
             summaries.append(_summarise_target(key, name, backends, table, catalog))
@@ -162,7 +162,7 @@
 
 
 def _service_targets(name: TargetName, table: LoadTable, catalog: Catalog) -> list[TargetSummary]:
-    backends = table.holders(TargetKind.SERVICE, name)
+    backends = table.servers_for_target(TargetKind.SERVICE, name)
     return [_summarise_target(name, name, backends, table, catalog)] if backends else []
 
 
