--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -202,7 +202,7 @@
                     self._record_end(request, reservation, part, progress)
                     return part
                 if isinstance(part, AnswerChunk):
-                    reservation.first_token()
+                    reservation.note_first_token()
                     self._parts.prefixes.note(
                         request.prefix_keys, context.backend_server, backend.incarnation
                     )
--- a/sparline/routing/_load_table.py
+++ b/sparline/routing/_load_table.py
@@ -124,7 +124,7 @@
         backend.own_waiting_tokens += request.prompt_tokens
         backend.own_long += request.length is Length.LONG
 
-    def first_token(self) -> None:
+    def note_first_token(self) -> None:
         """Record that prefill has ended; later calls do nothing."""
         if self._awaits_first_token:
             self._awaits_first_token = False
@@ -132,7 +132,7 @@
 
     def release(self) -> None:
         """Release the slot and update the mean hold time."""
-        self.first_token()
+        self.note_first_token()
         backend = self.backend
         backend.own_in_flight -= 1
         backend.own_long -= self._request.length is Length.LONG
