--- a/sparline/relay/_sender.py
+++ b/sparline/relay/_sender.py
@@ -74,7 +74,7 @@
             self._record_result(candidate, request, end)
             yield end
         finally:
-            self._spare.give_back(candidate.zone, room_key(request))
+            self._spare.release(candidate.zone, room_key(request))
 
     def _record_result(self, candidate: RemoteCandidate, request: Request, end: AnswerEnd) -> None:
         if end.outcome is Outcome.complete:
--- a/sparline/routing/_spare_room.py
+++ b/sparline/routing/_spare_room.py
@@ -53,7 +53,7 @@
         """Count one outstanding request."""
         self._uses[zone, key].outstanding += 1
 
-    def give_back(self, zone: ZoneName, key: str) -> None:
+    def release(self, zone: ZoneName, key: str) -> None:
         """Subtract an outstanding request that has ended."""
         use = self._uses[zone, key]
         use.outstanding -= 1
