--- a/sparline/relay/_sender.py
+++ b/sparline/relay/_sender.py
@@ -68,7 +68,7 @@
         assert self.is_region_allowed(request.residency_rule, candidate.region), (
             "the residency rule does not allow this region"
         )
-        self._spare.take(candidate.zone, room_key(request))
+        self._spare.acquire(candidate.zone, room_key(request))
         try:
             end = yield from self._relay(request, candidate, candidate.instance_id, resume_from)
             self._record_result(candidate, request, end)
--- a/sparline/routing/_spare_room.py
+++ b/sparline/routing/_spare_room.py
@@ -49,7 +49,7 @@
         use = self._use(stored, key, room, senders)
         return use.outstanding < use.limit and now_ms() >= use.backoff_until_ms
 
-    def take(self, zone: ZoneName, key: str) -> None:
+    def acquire(self, zone: ZoneName, key: str) -> None:
         """Count one outstanding request."""
         self._uses[zone, key].outstanding += 1
 
@@ -57,7 +57,7 @@
         """Subtract an outstanding request that has ended."""
         use = self._uses[zone, key]
         use.outstanding -= 1
-        assert use.outstanding >= 0, "a share was given back twice"
+        assert use.outstanding >= 0, "a share was released twice"
 
     def refused(self, zone: ZoneName, key: str) -> None:
         """Back off from a zone that refused a request, and halve the limit."""
--- a/sparline/routing/tests/test_policy.py
+++ b/sparline/routing/tests/test_policy.py
@@ -234,7 +234,7 @@
     for number in range(200):
         spare = SpareCapacity(random.Random(number))
         while spare.available(stored, "m", 10, 200):
-            spare.take(ZoneName("zone-b"), "m")
+            spare.acquire(ZoneName("zone-b"), "m")
             taken += 1
     # About the advertised room in total, not 200 times as much.
     assert 5 <= taken <= 40
