--- a/sparline/orders/_plan.py
+++ b/sparline/orders/_plan.py
@@ -80,6 +80,6 @@
         backend.member.id != order.backend_server
         and backend.takes_work
         and backend.member.state is FleetState.live
-        and backend.holds(order.target, "")
+        and backend.has_loaded(order.target, "")
         for backend in backends
     )
--- a/sparline/routing/_load_table.py
+++ b/sparline/routing/_load_table.py
@@ -96,7 +96,7 @@
             return False
         return now_ms() >= self.ejected_until_ms
 
-    def holds(self, target: TargetName, adapter: str) -> bool:
+    def has_loaded(self, target: TargetName, adapter: str) -> bool:
         """Return whether the engine has a model, in any version, and the adapter loaded."""
         if self.report is None or now_ms() - self.report_at_ms > REPORT_TTL_MS:
             return False
@@ -280,7 +280,7 @@
 def _serves(backend: BackendState, kind: TargetKind, target: TargetName, adapter: str) -> bool:
     if kind is TargetKind.SERVICE:
         return backend.member.role is FleetRole.service and backend.member.serves == target
-    return backend.member.role is FleetRole.engine and backend.holds(target, adapter)
+    return backend.member.role is FleetRole.engine and backend.has_loaded(target, adapter)
 
 
 def _has_unsent_report(backend: BackendState) -> bool:
