--- a/sparline/decisions/__init__.py
+++ b/sparline/decisions/__init__.py
@@ -1,6 +1,6 @@
-"""Decisions at the worst load, apart from input and output: typed facts in, typed decisions out.
+"""Overload decisions as pure functions and state machines, separate from input and output.
 
-Nothing here reads a clock, a socket or a table; whoever calls gathers the facts and tells the time.
+Nothing here reads a clock, a socket or a table; the caller passes the facts and the time in.
 """
 
 from sparline.decisions._admission import AdmissionFacts, RefusedFor, why_refused
--- a/sparline/decisions/_admission.py
+++ b/sparline/decisions/_admission.py
@@ -1,60 +1,61 @@
-"""Whether a request is let in.
+"""Admission control: whether a request is accepted.
 
-Load pattern: a region whose callers come two to three times as often as its engines can serve, for
-seconds. Whatever is let in then makes all behind it later; turning away what would be late anyway
-keeps the rest in time.
+Guards against a region that receives two to three times the requests that its engines can serve,
+for seconds. Every request that is accepted then delays all those behind it; rejecting those that
+would be late anyway keeps the rest in time.
 """
 
 from dataclasses import dataclass
 from enum import Enum
 
-# A request whose estimated time is above this many times the wanted one is refused: it would earn
-# next to nothing and delay all behind it. Above one, because estimates are rough, and a late
-# answer is still worth something.
+# A request whose estimated time exceeds the target by more than this factor is rejected: it would
+# be worth next to nothing and delay all those behind it. The factor is above one because estimates
+# are rough and a late answer is still worth something.
 REFUSE_ABOVE = 1.25
-# A relayed request is refused above this many times the wanted time: the way takes the rest, and
-# its first instance may know a better place.
+# The same for a relayed request: the network round trip takes the rest, and the instance that
+# relayed it may know a better server.
 REFUSE_RELAYED_ABOVE = 1.0
-# A request that would cost more than this many times its own credit is refused: it is late
-# itself, or makes others late.
+# A request is rejected if its loss exceeds this multiple of its own credit: it is late itself, or
+# makes others late.
 REFUSE_LOSS = 1.5
-# A prompt whose own reading takes more than this part of the wanted time is long: no place could
-# answer it as quickly as a usual one, and the longest tenth is to be served like the others.
+# A prompt is long if its own prefill takes more than this fraction of the target time: no engine
+# could answer it as quickly as a usual one, and the longest tenth of the prompts is to be served
+# like the others.
 LONG_READING = 0.55
 
 
 class RefusedFor(Enum):
-    """Name why a request is turned away."""
+    """Reason for rejecting a request at admission."""
 
-    LATE = "late"  # it would come too late
-    COSTLY = "costly"  # it would cost others more than it earns
-    OVER_DEADLINE = "over_deadline"  # its caller would be gone before the answer
+    LATE = "late"  # it would be answered too late
+    COSTLY = "costly"  # it would delay other requests by more than it is worth
+    OVER_DEADLINE = "over_deadline"  # its caller would have given up before the answer
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionFacts:
-    """Hold what is known of a request at the place that would lose least by it."""
+    """Facts about a request at the candidate server with the lowest loss."""
 
-    wanted_ms: float  # wanted time to the first event or answer
-    left_ms: float  # time until its caller gives up
+    wanted_ms: float  # target time to the first event or answer
+    left_ms: float  # time until the caller gives up
     expected_ms: float  # estimated time to the first event or answer
-    reading_ms: float  # part of it in which its own prompt is read
-    loss: float  # what is lost there, against the credit of the request
-    is_idle: bool  # whether nothing runs there
-    is_relayed: bool  # whether another instance sent it here
+    reading_ms: float  # part of it that the prefill of its own prompt takes
+    loss: float  # loss at that server, relative to the credit of the request
+    is_idle: bool  # whether no request is running there
+    is_relayed: bool  # whether another instance relayed the request
 
 
 def why_refused(facts: AdmissionFacts) -> RefusedFor | None:
-    """Return why a request is turned away, None where it is let in.
+    """Return why a request is rejected, None if it is accepted.
 
-    A place with nothing to do takes anything: nobody else is delayed.
+    An idle server accepts anything, because no other request is delayed.
     """
     if facts.is_idle:
         return None
     expected_ms = facts.expected_ms
     loss = facts.loss
     if facts.reading_ms > LONG_READING * facts.wanted_ms:
-        # Its length is no reason to turn it away, only the wait before it is.
+        # A long prompt is judged by its wait before prefill only, not by its length.
         expected_ms -= facts.reading_ms
         loss -= (facts.reading_ms / facts.wanted_ms) ** 2
     targets = REFUSE_RELAYED_ABOVE if facts.is_relayed else REFUSE_ABOVE
--- a/sparline/decisions/tests/test_decisions.py
+++ b/sparline/decisions/tests/test_decisions.py
@@ -1,3 +1,5 @@
+"""Admission, Retry-After values and remembered refusals of other regions."""
+
 import pytest
 
 from sparline._ids import RegionName
@@ -32,21 +34,25 @@
 
 ADMISSION = [
     ("in time", {}, None),
-    ("a little late", {"expected_ms": 990.0}, None),
+    ("slightly late", {"expected_ms": 990.0}, None),
     ("late", {"expected_ms": 1_010.0}, LATE),
-    ("relayed and a little late", {"expected_ms": 810.0, "is_relayed": True}, LATE),
-    ("late at an idle place", {"expected_ms": 9_000.0, "loss": 90.0, "is_idle": True}, None),
-    ("makes others late", {"loss": 1.6}, COSTLY),
-    ("long by its own reading", {"expected_ms": 1_900.0, "reading_ms": 1_000.0, "loss": 2.9}, None),
-    ("long, behind a backlog", {"expected_ms": 2_100.0, "reading_ms": 1_000.0, "loss": 2.9}, LATE),
-    ("its caller is gone by then", {"left_ms": 250.0}, OVER),
+    ("relayed and slightly late", {"expected_ms": 810.0, "is_relayed": True}, LATE),
+    ("late at an idle server", {"expected_ms": 9_000.0, "loss": 90.0, "is_idle": True}, None),
+    ("delays others", {"loss": 1.6}, COSTLY),
+    ("long prefill of its own", {"expected_ms": 1_900.0, "reading_ms": 1_000.0, "loss": 2.9}, None),
+    (
+        "long prefill behind a backlog",
+        {"expected_ms": 2_100.0, "reading_ms": 1_000.0, "loss": 2.9},
+        LATE,
+    ),
+    ("caller gives up before the answer", {"left_ms": 250.0}, OVER),
 ]
 
 
 @pytest.mark.parametrize(
     ("changes", "why"), [row[1:] for row in ADMISSION], ids=[row[0] for row in ADMISSION]
 )
-def test_who_is_let_in(changes, why):
+def test_admission_decision(changes, why):
     assert why_refused(facts(**changes)) is why
 
 
@@ -54,12 +60,12 @@
 
 
 @pytest.mark.parametrize(("expected_ms", "after_ms"), RETURNS)
-def test_when_a_caller_comes_back(expected_ms, after_ms):
+def test_retry_after_follows_expected_lateness(expected_ms, after_ms):
     assert return_after_ms(ReturnFacts(800.0, expected_ms, 4_000.0)) == after_ms
 
 
 @pytest.mark.parametrize(("left_ms", "after_ms"), [(300, 500), (3_000, 1_000), (60_000, 5_000)])
-def test_when_one_that_nothing_can_serve_comes_back(left_ms, after_ms):
+def test_unserved_wait_is_bounded_fraction_of_time_left(left_ms, after_ms):
     assert unserved_wait_ms(left_ms) == after_ms
 
 
@@ -69,27 +75,27 @@
 
 
 REFUSED_AT_MS = 1_000.0
-# What is asked after a refusal of priority 1 and 300 tokens: the region, the service, the priority, the tokens,
-# when, and whether the region is full for it.
-AFTER_A_REFUSAL = [
-    ("the same", "south", "engines", 1, 300, 0.0, True),
+# Queries after a rejection of priority 1 and 300 tokens: region, service, priority, tokens, delay
+# (ms), and whether the region counts as full.
+QUERIES_AFTER_REFUSAL = [
+    ("same request", "south", "engines", 1, 300, 0.0, True),
     ("less urgent", "south", "engines", 2, 300, 0.0, True),
     ("more urgent", "south", "engines", 0, 300, 0.0, False),
     ("shorter", "south", "engines", 1, 0, 0.0, True),
-    ("longer, but short", "south", "engines", 1, SHORT_TOKENS, 0.0, True),
+    ("longer but still short", "south", "engines", 1, SHORT_TOKENS, 0.0, True),
     ("long", "south", "engines", 1, SHORT_TOKENS + 1, 0.0, False),
     ("another service", "south", "plain", 1, 300, 0.0, False),
     ("another region", "north", "engines", 1, 300, 0.0, False),
-    ("later", "south", "engines", 1, 300, NO_ROOM_MS, False),
+    ("after expiry", "south", "engines", 1, 300, NO_ROOM_MS, False),
 ]
 
 
 @pytest.mark.parametrize(
     ("region", "service", "priority", "tokens", "later_ms", "full"),
-    [row[1:] for row in AFTER_A_REFUSAL],
-    ids=[row[0] for row in AFTER_A_REFUSAL],
+    [row[1:] for row in QUERIES_AFTER_REFUSAL],
+    ids=[row[0] for row in QUERIES_AFTER_REFUSAL],
 )
-def test_a_region_is_full_for_what_is_like_what_it_turned_away(
+def test_region_is_full_for_requests_like_the_rejected_one(
     region, service, priority, tokens, later_ms, full
 ):
     refusals = RegionRefusals()
@@ -100,14 +106,14 @@
 
 
 @pytest.mark.parametrize(("priority", "tokens"), ((2, 300), (1, 9_000)))
-def test_a_further_refusal_does_not_end_an_earlier_one(priority, tokens):
+def test_later_refusal_does_not_end_earlier_one(priority, tokens):
     refusals = RegionRefusals()
     refusals.note(SOUTH, ENGINES, 1, 300, REFUSED_AT_MS)
     refusals.note(SOUTH, ENGINES, priority, tokens, REFUSED_AT_MS)
     assert refusals.is_full(SOUTH, ENGINES, 1, 300, REFUSED_AT_MS)
 
 
-def test_a_long_request_that_is_turned_away_says_nothing_of_short_ones():
+def test_refusal_of_long_request_does_not_affect_short_ones():
     refusals = RegionRefusals()
     refusals.note(SOUTH, ENGINES, 1, SHORT_TOKENS + 1, REFUSED_AT_MS)
     assert not refusals.is_full(SOUTH, ENGINES, 1, 300, REFUSED_AT_MS)
