--- a/sparline/placement/_fit.py
+++ b/sparline/placement/_fit.py
@@ -1,19 +1,19 @@
-"""A least-squares fit that starts from a guess and forgets old measurements."""
+"""Least-squares regression with a prior and exponential forgetting."""
 
 from collections.abc import Sequence
 
 
 class Fit:
-    """Learn the weights whose sum over the features of a measurement explains it."""
+    """Learns the weights of a linear model from measurements."""
 
     def __init__(self, guess: Sequence[float], trust: Sequence[float], keep: float) -> None:
-        """Start from a guess.
+        """Start from the prior weights `guess`.
 
-        `trust` says how firmly each weight of the guess holds, in sums of squared features;
-        `keep` is the part of an older measurement that counts after each new one.
+        `trust` is the confidence in each prior weight, as a sum of squared features; `keep` is the
+        factor by which the weight of older measurements shrinks with each new one.
         """
         size = len(guess)
-        self.weights = tuple(guess)  # learned so far, in the order of the features
+        self.weights = tuple(guess)  # current estimate, in the order of the features
         self._guess = tuple(guess)
         self._trust = tuple(trust)
         self._keep = keep
@@ -21,7 +21,7 @@
         self._products = [0.0] * size
 
     def note(self, features: Sequence[float], measured: float) -> None:
-        """Learn from one measurement."""
+        """Update the weights with one measurement."""
         for row, one in zip(self._squares, features, strict=True):
             for column, other in enumerate(features):
                 row[column] = row[column] * self._keep + one * other
@@ -30,7 +30,7 @@
         self.weights = self._solved()
 
     def _solved(self) -> tuple[float, ...]:
-        """Solve the normal equations; the guess keeps them from being singular."""
+        """Solve the normal equations; the prior keeps them from being singular."""
         rows = [
             [*row, product + self._trust[index] * self._guess[index]]
             for index, (row, product) in enumerate(zip(self._squares, self._products, strict=True))
@@ -41,7 +41,7 @@
 
 
 def _eliminate(rows: list[list[float]]) -> tuple[float, ...]:
-    """Return the solution of a positive definite system, its right side in the last column."""
+    """Return the solution of a positive definite system with its right-hand side as last column."""
     size = len(rows)
     for pivot in range(size):
         scale = rows[pivot][pivot]
--- a/sparline/placement/_kept_prompt.py
+++ b/sparline/placement/_kept_prompt.py
@@ -1,4 +1,4 @@
-"""Which engines keep a prompt's shared start, and which of them can pass it on."""
+"""Which engines hold a prompt's shared prefix in cache, and which can transfer it."""
 
 from dataclasses import dataclass, field
 
@@ -7,27 +7,27 @@
 from sparline.placement._prompt_cache import FLEET_WIDE_TOKENS, PromptCache, owner_of
 from sparline.requests import Prompt
 
-# Shorter starts are read again rather than fetched (tokens): at 50 tokens a millisecond reading
-# so many takes 20 ms, as long as a fetch takes to set up and to wait its turn.
+# Shorter prefixes are prefilled again rather than fetched (tokens): at 50 tokens a millisecond that
+# takes 20 ms, as long as a fetch takes to set up and to wait for its turn.
 FETCH_LEAST_TOKENS = 1_000
 
 
 @dataclass(frozen=True, slots=True)
 class KeptPrompt:
-    """Hold where the shared start of one prompt is kept."""
+    """Locations of the cached shared prefix of one prompt."""
 
-    tokens: dict[BackendServerId, int] = field(default_factory=dict)  # kept by each engine
-    reader: BackendServerId | None = None  # engine that is to read it, None where one has
-    sources: dict[RegionName, BackendServer] = field(default_factory=dict)  # keeps most there
-    fleet_wide: bool = False  # whether one engine of the whole fleet is to read it
-    most: int = 0  # tokens that the engine with most of them keeps
+    tokens: dict[BackendServerId, int] = field(default_factory=dict)  # cached tokens by engine
+    reader: BackendServerId | None = None  # engine that is to prefill it, None if one has
+    sources: dict[RegionName, BackendServer] = field(default_factory=dict)  # largest copy by region
+    fleet_wide: bool = False  # whether one engine of the whole fleet is to prefill it
+    most: int = 0  # tokens in the largest copy
 
     def at(self, server: BackendServer) -> int:
-        """Return the tokens that an engine keeps."""
+        """Return the tokens that an engine has cached."""
         return self.tokens.get(server.id, 0)
 
     def source_for(self, server: BackendServer) -> BackendServer | None:
-        """Return the engine from which another of its region should fetch the start."""
+        """Return the engine of the same region from which a server should fetch the prefix."""
         source = self.sources.get(server.region)
         if source is None or self.at(source) - self.at(server) < FETCH_LEAST_TOKENS:
             return None
@@ -41,9 +41,9 @@
     own_region: RegionName,
     cache: PromptCache,
 ) -> KeptPrompt:
-    """Return where a prompt's start is kept among the engines that may run it.
+    """Return where a prompt's prefix is cached among the engines that may run the request.
 
-    Only sound ones are to read it or pass it on.
+    Only healthy engines (`sound`) are chosen to prefill or transfer it.
     """
     if prompt is None:
         return KeptPrompt()
@@ -67,7 +67,7 @@
 def _owner(
     prompt: Prompt, servers: list[BackendServer], own_region: RegionName
 ) -> BackendServerId | None:
-    """Return the engine that is to keep the prompt's start."""
+    """Return the engine that is to hold the prompt's prefix."""
     near = [one for one in servers if one.region == own_region]
     pool = servers if prompt.shared_tokens >= FLEET_WIDE_TOKENS or not near else near
     return owner_of(prompt, [one.id for one in pool])
--- a/sparline/placement/_limit_shares.py
+++ b/sparline/placement/_limit_shares.py
@@ -27,7 +27,7 @@
         return per_s is None or self._shares.may_send(server_id, max(per_s, LEAST_RATE_PER_S))
 
     def note_sent(self, server_id: BackendServerId) -> None:
-        """Count a request that goes to a server of this instance's region."""
+        """Record a request to a server of this instance's region."""
         per_s = self._limits.limit_per_s(server_id)
         if per_s is None:
             self._shares.forget(server_id)
--- a/sparline/placement/_pauses.py
+++ b/sparline/placement/_pauses.py
@@ -1,74 +1,75 @@
-"""How long the pauses of running streams become while their engine reads a prompt."""
+"""Prediction of how long gaps between stream events become while the engine prefills a prompt."""
 
 import math
 from dataclasses import dataclass, field
 
 from sparline.routes import ServiceName
 
-# Before pauses have been seen, one without any reading takes this part of the wanted longest
-# one, and readings add all of their time: requests have to be placed before any can be seen.
+# Before any gap has been observed, a gap without prefill is taken to last this fraction of the
+# target, and a prefill to add all of its time: requests have to be placed before any can be
+# observed.
 FIRST_QUIET = 0.15
-# Pauses differ from what is likely by this part of the wanted longest one, at the start and at
-# the least.
+# Initial and minimum deviation of gaps from their expected length, as a fraction of the target.
 FIRST_DEVIATION = 0.15
 LEAST_DEVIATION = 0.05
-# Weight of one more pause: about the last 20 count.
+# Weight of one more gap: about the last 20 count.
 WEIGHT = 0.05
-# A reading shorter than this part of the wanted longest pause tells of pauses without any.
+# A gap during which the prefill was shorter than this fraction of the target shows how long gaps
+# without prefill are.
 NO_READING = 0.1
-# Of the pauses during which an engine read all along, this share is at most as long as what is
-# taken for the longest: the last event of an answer holds few tokens and comes early.
+# Of the gaps during which an engine prefilled all the time, this share is at most as long as the
+# estimated maximum: the last event of an answer holds few tokens and comes early.
 COVERED_SHARE = 0.9
-# Each of them moves what is taken for the longest by up to this part of the wanted longest pause,
-# however long a fault made it.
+# One such gap moves the estimated maximum by at most this fraction of the target, however long a
+# fault made it.
 COVERED_STEP = 0.1
-# Outcomes are told apart by the length of the reading against the wanted longest pause, in steps
-# of this many pauses, up to the last step and all beyond it.
+# Outcomes are counted in bins by prefill time as a fraction of the target: the bin width, and the
+# number of bins, of which the last one has no upper end.
 STEP = 0.25
 STEPS = 13
-# What the lengths of pauses let expect counts like so many outcomes at each step.
+# Weight of the prediction from gap lengths in each bin, in outcomes.
 EXPECTED_WEIGHT = 2.0
-# So many outcomes at one step count at the most (count); older ones fade.
+# Maximum count of one bin; older outcomes fade.
 MOST_COUNTED = 300.0
 
 
 @dataclass(slots=True)
 class _Pause:
-    """Hold what was seen of the pauses of one wanted length (ms)."""
+    """Statistics of the stream gaps with one target (ms)."""
 
-    quiet_ms: float  # without any reading
+    quiet_ms: float  # mean gap without prefill
     deviation_ms: float  # mean distance from that
-    most_ms: float | None = None  # with readings all along, None while none went on for so long
-    seen: list[float] = field(default_factory=lambda: [0.0] * STEPS)  # outcomes, by step
-    late: list[float] = field(default_factory=lambda: [0.0] * STEPS)  # those that were late
-    shares: list[float] | None = None  # late ones as expected by step, None after a change
+    most_ms: float | None = None  # estimated maximum during prefill, None if unknown
+    seen: list[float] = field(default_factory=lambda: [0.0] * STEPS)  # outcomes by bin
+    late: list[float] = field(default_factory=lambda: [0.0] * STEPS)  # late outcomes by bin
+    shares: list[float] | None = None  # cached share of late gaps by bin, None after a change
 
 
 class PauseTable:
-    """Learn which readings make the pauses of running streams too long."""
+    """Learns which prefills make the gaps between the events of running streams too long."""
 
     def __init__(self) -> None:
-        """Start with the guess."""
+        """Start without observations."""
         self._pauses: dict[tuple[ServiceName, float], _Pause] = {}
 
     def note_quiet(
         self, service: ServiceName, wanted_ms: float, reading_ms: float, pause_ms: float
     ) -> None:
-        """Note a pause in which a reading began, which tells of all pauses if it was short."""
+        """Record a gap in which a prefill began; one with a short prefill counts as without."""
         if reading_ms >= NO_READING * wanted_ms:
             return
         pause = self._of(service, wanted_ms)
-        # A fault that holds a stream up for seconds says nothing of the others.
+        # A fault that blocks one stream for seconds is no evidence about the others.
         pause_ms = min(pause_ms, wanted_ms)
         pause.deviation_ms += WEIGHT * (abs(pause_ms - pause.quiet_ms) - pause.deviation_ms)
         pause.quiet_ms += WEIGHT * (pause_ms - pause.quiet_ms)
         pause.shares = None
 
     def note_covered(self, service: ServiceName, wanted_ms: float, pause_ms: float) -> None:
-        """Note a pause during which an engine read all along.
+        """Record a gap during which an engine prefilled all the time.
 
-        It shows how much reading a pause takes in at most: an event has so many steps, and each
-        of them reads a bounded piece.
+        It shows how much prefill a gap can hold at most, because an event takes a fixed number of
+        steps and each step prefills a bounded chunk.
         """
         pause = self._of(service, wanted_ms)
         if pause.most_ms is None:
@@ -80,9 +81,10 @@
     def note_outcome(
         self, service: ServiceName, wanted_ms: float, reading_ms: float, is_late: bool
     ) -> None:
-        """Note whether a stream's pause became too long after a reading began.
+        """Record whether a stream's gap became too long after a prefill began.
 
-        Readings that no sibling had told yet make it longer too; only outcomes show how often.
+        Prefills that other instances have not reported yet lengthen it too; only outcomes show how
+        often.
         """
         pause = self._of(service, wanted_ms)
         step = min(int(reading_ms / wanted_ms / STEP), STEPS - 1)
@@ -94,9 +96,9 @@
         pause.shares = None
 
     def late_share(self, service: ServiceName, wanted_ms: float, reading_ms: float) -> float:
-        """Return the share of running streams that a reading makes late, 0 to 1."""
+        """Return the share of running streams that a prefill makes late, 0 to 1."""
         if reading_ms <= STEP / 2 * wanted_ms:
-            # Shares count from those of the shortest readings.
+            # Shares are relative to that of the shortest prefills.
             return 0.0
         pause = self._of(service, wanted_ms)
         if pause.shares is None:
@@ -106,8 +108,10 @@
         return pause.shares[step] + (place - step) * (pause.shares[step + 1] - pause.shares[step])
 
     def learned(self) -> dict[str, list[float | None]]:
-        """Return for the log: a quiet pause, its deviation, the longest one beside readings
-        (ms), and the share of late streams by the length of the reading.
+        """Return the learned values for the log.
+
+        These are, for each service and target: the mean gap without prefill, its deviation, the
+        maximum gap during prefill (ms), and the share of late streams by bin.
         """
         return {
             f"{service}/{wanted_ms:.0f}": [
@@ -130,21 +134,24 @@
 
 @dataclass(frozen=True, slots=True)
 class _Block:
-    """Hold neighbouring steps that count as one."""
+    """Adjacent bins that are pooled into one."""
 
-    share: float  # of late outcomes
-    seen: float  # outcomes that it is of
-    steps: int  # how many
+    share: float  # share of late outcomes
+    seen: float  # number of outcomes
+    steps: int  # number of bins
 
 
 def _shares(pause: _Pause, wanted_ms: float) -> list[float]:
-    """Return the share by step, never falling, above what is late without any reading."""
+    """Return the share of late streams by bin, non-decreasing and relative to the first bin.
+
+    This is an isotonic regression by pooling adjacent violators.
+    """
     blocks: list[_Block] = []
     for step in range(STEPS):
         expected = EXPECTED_WEIGHT * _expected(pause, wanted_ms, (step + 0.5) * STEP * wanted_ms)
         seen = pause.seen[step] + EXPECTED_WEIGHT
         block = _Block((pause.late[step] + expected) / seen, seen, 1)
-        # A longer reading can't hurt less: steps that say so count as one.
+        # A longer prefill cannot do less harm: bins that violate this are pooled.
         while blocks and blocks[-1].share > block.share:
             block = _joined(blocks.pop(), block)
         blocks.append(block)
@@ -159,14 +166,15 @@
 
 
 def _expected(pause: _Pause, wanted_ms: float, reading_ms: float) -> float:
-    """Return the share of late streams that the lengths of pauses let expect."""
+    """Return the share of late streams predicted from gap lengths."""
     most_ms = math.inf if pause.most_ms is None else max(pause.most_ms, pause.quiet_ms)
-    # A reading may fall into two pauses; that siblings begin others beside it is as likely.
+    # A prefill may be split over two gaps; that other instances start more at the same time is as
+    # likely.
     likely_ms = min(pause.quiet_ms + reading_ms, most_ms)
     deviation_ms = max(pause.deviation_ms, LEAST_DEVIATION * wanted_ms)
     return _above((likely_ms - wanted_ms) / deviation_ms)
 
 
 def _above(deviations: float) -> float:
-    """Return how often a value spread by one deviation is above a bound so far below it."""
+    """Return the probability that a normal value exceeds a bound `deviations` below its mean."""
     return 0.5 * (1 + math.erf(deviations / math.sqrt(2)))
--- a/sparline/placement/_rate_shares.py
+++ b/sparline/placement/_rate_shares.py
@@ -10,8 +10,8 @@
 from sparline._hashing import hash64
 from sparline._ids import BackendServerId
 
-# Most instances that share one server's rate (count). Each may send one request early, so this is
-# also the largest burst.
+# Maximum number of instances that share one server's rate. Each may send one request early, so this
+# is also the largest burst.
 MOST_SHARING = 4
 # Part of the rate that is used; the rest is a margin for clock differences and network delay.
 RATE_USED = 0.85
--- a/sparline/placement/_server_limits.py
+++ b/sparline/placement/_server_limits.py
@@ -14,7 +14,8 @@
 # A limit from a peer replaces the known one only if it is newer by more than this (ms), because ages
 # in gossip do not include the network delay, which varies between datagrams.
 AGE_TOLERANCE_MS = 100.0
-# Most limits told in one datagram (count), a random sample where there are more: about 25 bytes each.
+# Maximum number of limits in one datagram, a random sample where there are more: about 25 bytes
+# each.
 MOST_TOLD = 8
 
 
@@ -53,7 +54,7 @@
                 self._update(ServerLimit(server_id, note.per_s, at_ms, from_peer=True))
 
     def notes(self) -> list[ServerLimitNote]:
-        """Return the limits to tell a peer, a random sample where there are many.
+        """Return the limits to send to a peer, a random sample where there are many.
 
         Limits from peers are left out, because forwarding them would make an answer appear newer by
         the network delay of each hop.
