--- a/sparline/placement/__init__.py
+++ b/sparline/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement: loads, health, caches and the choice of a backend server."""
+"""Placement of requests: server load, health, prompt caches and the choice of a backend server."""
 
 from sparline.placement._choice import Chooser
 from sparline.placement._cold_shares import ColdShares, ColdUse
--- a/sparline/placement/_choice.py
+++ b/sparline/placement/_choice.py
@@ -1,4 +1,4 @@
-"""The choice of a backend server, here or in another region, by what each would lose."""
+"""Choice of a backend server, in this region or another, by minimum loss."""
 
 import random
 from collections.abc import Sequence
@@ -23,15 +23,16 @@
 from sparline.requests import Origin, Reason, RoutedRequest
 from sparline.routes import Service
 
-# Servers whose loss differs by less are equal; chance then spreads instances over them.
+# Servers whose loss differs by less than this count as equal; one is chosen at random, which
+# spreads the load of several instances.
 EQUAL_LOSS = 0.004
 
 
 class Chooser:
-    """Choose a place for each request."""
+    """Chooses a server for each request."""
 
     def __init__(self, place: OwnPlace, tables: PlacementTables, chance: random.Random) -> None:
-        """Choose for callers of an instance that stands at a place."""
+        """Choose for the callers of an instance at a given place."""
         self._region = place.region
         self._tables = tables
         self._chance = chance
@@ -46,10 +47,11 @@
         has_begun: bool = False,
         beside_few: bool = False,
     ) -> Placement | Refusal:
-        """Return the place that loses least.
+        """Return the placement with the lowest loss.
 
-        `excluded` were tried already; `has_begun` says that the caller has a part of the answer;
-        `beside_few` asks for the server with the fewest requests, which may end with this one.
+        `excluded` are servers that were tried already; `has_begun` says that the caller has
+        received part of the answer; `beside_few` selects the server with the fewest running
+        requests, because this request may crash it.
         """
         service = self._tables.fleet.configuration.services.get(request.service)  # type: ignore[union-attr]
         if service is None:
@@ -61,7 +63,7 @@
         if not has_begun:
             servers = self._without_full(request, servers)
         if not servers and len(looked_at) < len(every):
-            # None of those may take it, so that all have to be looked at.
+            # No server on the shortlist may be used: consider all of them.
             servers = self._servers(request, service, every, excluded)
         if not servers:
             wait_ms = unserved_wait_ms(request.left_ms(), self._shortest_backoff_ms(request, every))
@@ -75,7 +77,7 @@
             return Refusal(Reason.NO_BACKEND, unserved_wait_ms(request.left_ms()), len(servers))
         best = self._best(placements, beside_few)
         if has_begun:
-            # A late rest is worth more to the caller than a stream that is cut off.
+            # A delayed continuation is worth more to the caller than a broken stream.
             return best
         return self._refusal(request, best, len(servers)) or best
 
@@ -94,7 +96,7 @@
         )
 
     def _demand(self, request: RoutedRequest, sound: list[BackendServer]) -> float:
-        """Return what comes to each engine here, against the worth of the request."""
+        """Return the value arriving per ms at each engine here, relative to that of the request."""
         if request.prompt is None:
             return 0.0
         tables = self._tables
@@ -154,7 +156,7 @@
     def _without_full(
         self, request: RoutedRequest, servers: list[BackendServer]
     ) -> list[BackendServer]:
-        """Leave out the servers of regions that have no room, unless there are no others."""
+        """Leave out the servers of regions without room, unless there are no others."""
         others = {one.region for one in servers if one.region != self._region}
         now, tokens = now_ms(), _tokens(request)
         full = {
@@ -176,7 +178,7 @@
         return self._chance.choice(near)
 
     def _refusal(self, request: RoutedRequest, best: Placement, candidates: int) -> Refusal | None:
-        """Refuse what would come too late or cost others too much."""
+        """Return a refusal for a request that would be too late or cost others too much."""
         why = why_refused(
             AdmissionFacts(
                 wanted_ms=request.route.wanted_latency_ms,
@@ -198,7 +200,7 @@
     def note_region_full(
         self, request: RoutedRequest, placement: Placement
     ) -> list[BackendServerId]:
-        """Note that no server of a place's region would take a request; return these servers."""
+        """Record that no server in a placement's region accepted a request; return them."""
         region = placement.server.region
         tokens = _tokens(request)
         self._refusals.note(region, request.service, request.priority, tokens, now_ms())
@@ -206,7 +208,7 @@
         return [one.id for one in every if one.region == region]
 
     def note_sent(self, request: RoutedRequest, placement: Placement) -> None:
-        """Note that a request goes to its place."""
+        """Record that a request is sent according to a placement."""
         service = self._tables.fleet.configuration.services.get(request.service)  # type: ignore[union-attr]
         if service is None:
             return
--- a/sparline/placement/_cold_shares.py
+++ b/sparline/placement/_cold_shares.py
@@ -1,4 +1,4 @@
-"""How many requests a cold backend server gets from this instance."""
+"""Rate limits for requests from this instance to cold backend servers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,16 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdUse:
-    """Tell that a cold server gets a request, and what that was decided by."""
+    """Request to a cold server, with the facts behind the decision."""
 
     server_id: BackendServerId  # the server
-    cold_ms: float  # how much longer it is taken to be cold
-    sharers: int  # instances that its rate is shared out among, as far as this one knows
-    pause_ms: float  # until this instance sends it the next one
+    cold_ms: float  # estimated time until it is warm
+    sharers: int  # instances that share its rate, as far as is known
+    pause_ms: float  # time until this instance may send it another request
 
 
 class ColdShares:
-    """Give each cold server its rate, shared out without a word between instances."""
+    """Divides the rate of each cold server between instances without any messages."""
 
     def __init__(
         self,
@@ -31,20 +31,20 @@
     ) -> None:
         """Share with the instances of this region.
 
-        `sharers` names them, silent ones too; `is_settled` tells whether these are likely to be
-        all of them; `on_use` is told of each send.
+        `sharers` returns their addresses, including unresponsive ones; `is_settled` tells whether
+        that list is likely to be complete; `on_use` is called for each request.
         """
         self._shares = RateShares(own_ip, sharers, is_settled)
         self._on_use = on_use
 
     def may_use(self, server: BackendServer, rate_per_s: float) -> bool:
-        """Tell whether this instance may send a cold server one more request now."""
+        """Tell whether this instance may send a server one more request now."""
         if rate_per_s <= 0 or now_ms() >= server.cold_until_ms:
             return True
         return self._shares.may_send(server.id, rate_per_s)
 
     def note_sent(self, server: BackendServer, rate_per_s: float) -> None:
-        """Count a request that goes to a server; spaces out those to a cold one."""
+        """Record a request to a server and space out those to a cold one."""
         if rate_per_s <= 0 or now_ms() >= server.cold_until_ms:
             self._shares.forget(server.id)
             return
--- a/sparline/placement/_demand.py
+++ b/sparline/placement/_demand.py
@@ -1,4 +1,4 @@
-"""What callers ask for lately: the worth of requests, and how much of it comes each millisecond."""
+"""Recent demand of callers: the value of requests, and how much of it arrives per millisecond."""
 
 from dataclasses import dataclass
 
@@ -7,49 +7,49 @@
 from sparline.requests import Prompt, RoutedRequest
 from sparline.routes import ServiceName
 
-# Between kinds of requests worth grows with the usual size of their requests to this power: customers pay
-# less than twice for what takes twice as long. No instance can observe what they pay.
+# Between classes of requests value grows with the usual size of their requests to this power:
+# customers pay less than twice for what takes twice as long. No instance can observe what they pay.
 SIZE_POWER = 0.6
-# Part of a request's worth that its size against the usual one of its kind does not change.
+# Fraction of a request's value that does not depend on its size relative to its class.
 FIXED_PART = 0.3
-# Weight of one more request in the usual size of its kind: about the last 50 count.
+# Weight of one more request in the usual size of its class: about the last 50 count.
 USUAL_WEIGHT = 0.02
-# What came is counted with this half-life (ms): a burst is seen within a second.
+# Half-life of the arrived value (ms): a burst is seen within a second.
 HALF_LIFE_MS = 1_000.0
-# A sum that fades with a half-life is the rate times so many half-lives, 1 / ln 2.
+# A sum that decays with a half-life equals the rate times this many half-lives, 1 / ln 2.
 HALF_LIVES_A_SUM = 1.4427
 
 
 @dataclass(frozen=True, slots=True)
 class _Kind:
-    """Name requests of one service that are alike."""
+    """Class of similar requests of one service."""
 
-    route_priority: int  # tells their usual size: routes of one urgency carry requests of a size
-    rank: int  # how urgent they are, their organisation's word before the route's
+    route_priority: int  # stands for size: routes of one priority get requests of similar size
+    rank: int  # their urgency; the organisation's priority overrides the route's
 
 
 @dataclass(slots=True)
 class _Arrivals:
-    """Hold what came of one kind of request."""
+    """Arrivals of one class of requests."""
 
     usual_size: float  # size of a usual request
-    worth: float = 0.0  # sum of what came, which fades
-    at_ms: float = 0.0  # when it was last added to
+    worth: float = 0.0  # decaying sum of the arrived value
+    at_ms: float = 0.0  # when it was last updated
 
     def faded(self) -> float:
-        """Return the sum as it is now."""
+        """Return the sum, decayed to the current time."""
         return self.worth * 0.5 ** ((now_ms() - self.at_ms) / HALF_LIFE_MS)
 
 
 class DemandTable:
-    """Learn from the requests of this instance's own callers."""
+    """Learns demand from the requests of this instance's own callers."""
 
     def __init__(self) -> None:
-        """Start with nothing seen."""
+        """Start without observations."""
         self._arrivals: dict[ServiceName, dict[_Kind, _Arrivals]] = {}
 
     def note(self, request: RoutedRequest, prompt: Prompt) -> None:
-        """Note a request that a caller makes."""
+        """Record a request from a caller."""
         size = credit_of(prompt)
         by_kind = self._arrivals.setdefault(request.service, {})
         arrivals = by_kind.setdefault(_kind(request), _Arrivals(size))
@@ -58,14 +58,14 @@
         arrivals.at_ms = now_ms()
 
     def worth(self, request: RoutedRequest, prompt: Prompt) -> float:
-        """Return the worth of a request, as far as its size tells."""
+        """Return the estimated value of a request, from its size."""
         size = credit_of(prompt)
         arrivals = self._arrivals.get(request.service, {}).get(_kind(request))
         usual = arrivals.usual_size if arrivals else float(size)
         return usual**SIZE_POWER * (FIXED_PART + (1 - FIXED_PART) * size / usual)
 
     def rate(self, service: ServiceName, priority: int) -> float:
-        """Return the worth of what comes each millisecond and is at least as urgent."""
+        """Return the value per millisecond of the arrivals that are at least as urgent."""
         by_kind = self._arrivals.get(service, {})
         total = sum(one.faded() for kind, one in by_kind.items() if kind.rank <= priority)
         return total / (HALF_LIVES_A_SUM * HALF_LIFE_MS)
--- a/sparline/placement/_loads.py
+++ b/sparline/placement/_loads.py
@@ -1,4 +1,4 @@
-"""Load of backend servers: own requests first-hand, all others' as the region tells."""
+"""Load of backend servers: own requests as counted here, those of others as reported."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,32 +10,32 @@
 ToldLoad = Callable[[BackendServerId], LoadOf | None]
 NoteChange = Callable[[BackendServer, LoadOf, float | None], None]
 
-# A server's place is kept this long after its last request (ms), for its learned pace.
+# A server's load entry is kept this long after its last request (ms), so that its pace is too.
 REMEMBER_MS = 120_000.0
 
 
 @dataclass(slots=True)
 class OwnLoad:
-    """Hold what this instance has at one backend server."""
+    """Load of this instance on one backend server."""
 
     running: int = 0  # requests that have not ended
-    held_tokens: int = 0  # memory that they take
-    unread_tokens: int = 0  # prompt tokens without a first event
-    region: RegionName = RegionName("")  # where the server stands
+    held_tokens: int = 0  # cache memory that they take
+    unread_tokens: int = 0  # prompt tokens of requests without a first event
+    region: RegionName = RegionName("")  # region of the server
     used_at_ms: float = 0.0  # when a request was last placed
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """Describe what a backend server had to read when this instance last gave it a prompt."""
+    """Prefill work of a backend server when this instance last sent it a prompt."""
 
-    at_ms: float  # when
-    tokens: int  # the prompt
-    before_tokens: int  # what it had to read before that
+    at_ms: float  # when it was sent
+    tokens: int  # tokens of the prompt
+    before_tokens: int  # tokens that were queued before it
 
 
 class Reservation:
-    """Count one request at its backend server until it ends."""
+    """Counts one request on its backend server until it ends."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         unread_tokens: int,
         on_change: Callable[[LoadOf, float | None], None],
     ) -> None:
-        """Count it; `on_change` is told what has come or, below zero, gone, and what that showed."""
+        """Count it; `on_change` gets each load change and what a prefill showed of the server."""
         self._load = load
         self._on_change = on_change
         self._held_tokens = held_tokens
@@ -57,14 +57,17 @@
         on_change(LoadOf(1, held_tokens, unread_tokens), None)
 
     def note_first_event(self, shown_log: float | None = None) -> None:
-        """Count the prompt as read; `shown_log` is what `PaceTable` learned of its server by it."""
+        """Count the prompt as prefilled.
+
+        `shown_log` is the result of `PaceTable.note_first_event`.
+        """
         read, self._unread_tokens = self._unread_tokens, 0
         if read:
             self._load.unread_tokens -= read
             self._on_change(LoadOf(0, 0, -read), shown_log)
 
     def release(self) -> None:
-        """Count the request as ended; further calls change nothing."""
+        """Count the request as ended; further calls have no effect."""
         if self._released:
             return
         self._released = True
@@ -77,13 +80,14 @@
 
 
 class LoadTable:
-    """Hold the load of every backend server that this instance knows of."""
+    """Holds the load of every backend server that this instance knows of."""
 
     def __init__(self, region: RegionName, told: ToldLoad, note_change: NoteChange) -> None:
         """Start without load.
 
-        `told` returns what all instances have at a server, this one too, as far as is known;
-        `note_change` takes each change of this instance's part, and what a reading showed.
+        `told` returns the reported load of all instances on a server, including this one;
+        `note_change` gets each change of this instance's part, and what a prefill showed of the
+        server.
         """
         self._note_change = note_change
         self._own: dict[BackendServerId, OwnLoad] = {}
@@ -92,7 +96,7 @@
         self._readings: dict[BackendServerId, Reading] = {}
 
     def reserve(self, server: BackendServer, held_tokens: int, unread_tokens: int) -> Reservation:
-        """Count a request at a backend server."""
+        """Count a request on a backend server."""
         load = self._own.get(server.id)
         if load is None:
             load = self._own[server.id] = OwnLoad(region=server.region)
@@ -108,7 +112,7 @@
         return reservation
 
     def last_reading(self, server_id: BackendServerId) -> Reading | None:
-        """Return the reading that this instance last let a backend server begin."""
+        """Return the latest prefill that this instance sent to a backend server."""
         return self._readings.get(server_id)
 
     def of(self, server: BackendServer) -> LoadOf:
@@ -124,12 +128,12 @@
         )
 
     def own(self, server_id: BackendServerId) -> LoadOf:
-        """Return what this instance has at a backend server."""
+        """Return this instance's part of the load of a backend server."""
         load = self._own.get(server_id)
         return LoadOf(load.running, load.held_tokens, load.unread_tokens) if load else LoadOf()
 
     def own_here(self) -> dict[str, LoadOf]:
-        """Return what this instance has at each backend server of its region."""
+        """Return this instance's part of the load of each backend server of its region."""
         return {
             server_id: self.own(server_id)
             for server_id, load in self._own.items()
@@ -137,7 +141,7 @@
         }
 
     def forget_old(self) -> None:
-        """Forget servers that have long had nothing."""
+        """Forget servers without requests for a long time."""
         since = now_ms() - REMEMBER_MS
         self._own = {
             one: load for one, load in self._own.items() if load.running or load.used_at_ms >= since
--- a/sparline/placement/_pace.py
+++ b/sparline/placement/_pace.py
@@ -1,4 +1,4 @@
-"""Measured times of services: reading a prompt, the first event, and plain answers."""
+"""Learned times of services: prefill, first event and complete plain answers."""
 
 import math
 from dataclasses import dataclass
@@ -8,52 +8,54 @@
 from sparline.placement._fit import Fit
 from sparline.routes import ServiceName
 
-# Before the first measurement: an answer's first event comes so long after its prompt was read
-# (ms), reading takes so long for 1,000 tokens (ms), and so much more for each million of pairs
-# of a token and one before it (ms). Requests have to be placed before any of it can be seen.
+# Prior estimates: time from the end of prefill to the first event (ms), prefill time for 1,000
+# tokens (ms), and additional attention time for each million pairs of a token and an earlier one
+# (ms). Requests have to be placed before any of it can be measured.
 FIRST_GUESS = (20.0, 20.0, 0.5)
-# How firmly that guess holds, in squared features: a few requests of some thousand tokens
+# Confidence in the prior, as sums of squared features: a few requests of some thousand tokens
 # outweigh it.
 GUESS_TRUST = (1.0, 0.5, 400.0)
-# Part of an older measurement that counts after each new one: about the last 100 count.
+# Factor by which the weight of older measurements shrinks with each new one: about the last 100
+# count.
 KEEP = 0.99
-# Only where so small a part of the reading lay before the request (against its own) does its
-# time tell of its own reading: nobody tells how far the readings before it had come.
+# The prefill time of a request is used for its service only if the prefill queued before it is at
+# most this fraction of its own, because progress of the queue is not reported.
 MOST_BEFORE = 0.1
-# Readings so short tell of the time beside all reading (tokens).
+# Queued prefills up to this length do not disqualify a measurement (tokens): they mainly show the
+# time apart from prefill.
 SHORT_TOKENS = 500
 # Weight of one more time in an engine's own factor: about the last five count.
 ENGINE_WEIGHT = 0.2
-# What an engine showed fades with this half-life (ms): one that is passed over for being slow
-# shows nothing more.
+# An engine's factor decays with this half-life (ms), because a slow engine that is skipped yields
+# no new measurements.
 ENGINE_HALF_LIFE_MS = 4_000.0
-# A single time counts at the most as this many expected ones: a request that a fault held up
-# says little of the next.
+# Bound of one measured time relative to the expected one: a request that a fault delayed says
+# little about the next.
 MOST_FACTOR = 6.0
 MOST_AWAY_LOG = math.log(MOST_FACTOR)
-# Of the time that a service takes, a single one counts at the most as this many expected ones:
-# what others have sent to an engine and not told yet only ever makes it longer.
+# The same bound for the estimate of a service: work that other instances have sent to an engine but
+# not reported yet can only make the time longer.
 MOST_SERVICE_FACTOR = 2.0
-# Behind so many tokens reading takes twice as long, at the least (tokens): short prompts with a
-# hidden wait else look like long ones that are read slowly.
+# Minimum prefix length that doubles the prefill time of a token (tokens): otherwise short prompts
+# with an unreported wait look like long ones that are prefilled slowly.
 LEAST_TWICE_BEHIND = 12_000
-# A million pairs takes at least this long (ms): engines that hide it have no bound to divide by.
+# Minimum time for a million pairs (ms), to avoid a division by zero for engines that hide it.
 LEAST_MPAIR_MS = 1e-6
-# Bounds of what may be learned for 1,000 tokens (ms): 5 to 1,000 tokens a millisecond.
+# Bounds of the prefill time for 1,000 tokens (ms): 5 to 1,000 tokens a millisecond.
 LEAST_KTOKEN_MS = 1.0
 MOST_KTOKEN_MS = 200.0
-# Before the first plain answer (ms): requests have to be placed before one can be seen.
+# Time of a plain answer before the first measurement (ms): requests have to be placed earlier.
 FIRST_ANSWER_MS = 45.0
-# Weight of one more whole answer.
+# Weight of one more complete answer.
 ANSWER_WEIGHT = 0.05
-# Before the first stream has ended: a token of an answer takes so long at most (ms), half of it
-# usually. A planned stop may come before any stream.
+# Before the first stream has ended: the maximum time of an output token (ms), of which the usual
+# time is half. A planned stop may happen before any stream.
 FIRST_TOKEN_MOST_MS = 15.0
-# Next to none takes longer than what is usual and so many mean deviations.
+# Almost no output token takes longer than the mean and this many mean deviations.
 MOST_DEVIATIONS = 3.0
-# Weight of one more stream in the time for a token: about the last 50 count.
+# Weight of one more stream in the time of an output token: about the last 50 count.
 OUTPUT_WEIGHT = 0.02
-# Answers shorter than this tell more of single steps than of the pace (tokens).
+# Shorter answers are dominated by single steps and are ignored (tokens).
 TELLING_OUTPUT_TOKENS = 16
 
 KTOKEN = 1_000
@@ -62,42 +64,42 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstEvent:
-    """Describe what an engine reads until a request's first event."""
+    """Work that an engine does before a request's first event."""
 
-    before_tokens: int  # readings that come first, as tokens at a prompt's start
-    unread_tokens: int  # tokens of the request's own prompt
-    kept_tokens: int  # tokens before them that the engine keeps
+    before_tokens: int  # queued prefills, in tokens at the start of a prompt
+    unread_tokens: int  # tokens of the request's own prompt to prefill
+    kept_tokens: int  # tokens before them that the engine has cached
 
     @property
     def pairs(self) -> float:
-        """Return the pairs of a token that is read and one before it."""
+        """Return the number of pairs of a prefilled token and an earlier one."""
         return self.unread_tokens * (self.kept_tokens + self.unread_tokens / 2)
 
 
 @dataclass(frozen=True, slots=True)
 class EnginePace:
-    """Hold how quickly an engine reads."""
+    """Prefill speed of an engine."""
 
-    base_ms: float  # time to a first event beside all reading
-    token_ms: float  # time to read a token at a prompt's start
+    base_ms: float  # time to the first event apart from prefill
+    token_ms: float  # time to prefill a token at the start of a prompt
 
 
 @dataclass(frozen=True, slots=True)
 class ServicePace:
-    """Hold how quickly the usual engine of a service reads."""
+    """Prefill speed of the usual engine of a service."""
 
     engine: EnginePace  # its times
-    twice_behind_tokens: float  # behind so many tokens, reading takes twice as long
+    twice_behind_tokens: float  # prefix length that doubles the time of a token
 
     def effort_tokens(self, unread_tokens: int, kept_tokens: int) -> int:
-        """Return a reading as the number of tokens at a prompt's start that takes as long."""
+        """Return the tokens at the start of a prompt whose prefill takes as long."""
         before = kept_tokens + unread_tokens / 2
         return round(unread_tokens * (1 + before / self.twice_behind_tokens))
 
 
 @dataclass(slots=True)
 class _EngineFactor:
-    """Hold how much longer one engine takes than its service."""
+    """Time that one engine takes relative to its service."""
 
     log: float  # logarithm of the factor
     at_ms: float  # when it was last measured
@@ -105,17 +107,17 @@
 
 @dataclass(slots=True)
 class _OutputPace:
-    """Hold how long a token of an answer takes."""
+    """Time of an output token."""
 
-    mean_ms: float = FIRST_TOKEN_MOST_MS / 2  # usually
+    mean_ms: float = FIRST_TOKEN_MOST_MS / 2  # mean time
     deviation_ms: float = FIRST_TOKEN_MOST_MS / 2 / MOST_DEVIATIONS  # mean distance from that
 
 
 class PaceTable:
-    """Learn from the requests of this instance."""
+    """Learns service and engine times from the requests of this instance."""
 
     def __init__(self) -> None:
-        """Start with the first guesses."""
+        """Start with the priors."""
         self._services: dict[ServiceName, Fit] = {}
         self._paces: dict[ServiceName, ServicePace] = {}
         self._engines: dict[BackendServerId, _EngineFactor] = {}
@@ -123,14 +125,14 @@
         self._outputs: dict[ServiceName, _OutputPace] = {}
 
     def service(self, service: ServiceName) -> ServicePace:
-        """Return how quickly the usual engine of a service reads."""
+        """Return the prefill speed of the usual engine of a service."""
         pace = self._paces.get(service)
         if pace is None:
             pace = self._paces[service] = _service_pace(self._fit(service))
         return pace
 
     def engine(self, service: ServiceName, server_id: BackendServerId) -> EnginePace:
-        """Return how quickly an engine reads; without measurements, like its service."""
+        """Return the prefill speed of an engine, its service's if it has not been measured."""
         usual = self.service(service).engine
         held = self._engines.get(server_id)
         if held is None:
@@ -147,10 +149,10 @@
     def note_first_event(
         self, service: ServiceName, server_id: BackendServerId, reading: FirstEvent, took_ms: float
     ) -> float | None:
-        """Learn from the time to a first event, which the reading and a step or more take.
+        """Record the time to a first event: prefill and at least one decoding step.
 
-        Returns the logarithm of how much longer it took than at the service's usual engine, for
-        siblings to learn from too; None where it shows nothing.
+        Returns the logarithm of the time relative to the service's usual engine, from which the
+        other instances learn too; None if the measurement is not conclusive.
         """
         usual = self.service(service)
         effort = usual.effort_tokens(reading.unread_tokens, reading.kept_tokens)
@@ -160,7 +162,7 @@
         if reading.before_tokens <= max(MOST_BEFORE * effort, SHORT_TOKENS):
             self._note_own_reading(service, reading, effort, took_ms)
         elif ratio < 1:
-            # The readings before it had come further than was told: that is no quick engine.
+            # The queue had progressed further than reported: the engine is not fast.
             return None
         usual_ms = usual.engine.base_ms + (reading.before_tokens + effort) * usual.engine.token_ms
         shown_log = math.log(likely_ms * ratio / max(usual_ms, 1.0))
@@ -168,10 +170,10 @@
         return shown_log
 
     def note_shown(self, server_id: BackendServerId, shown_log: float) -> None:
-        """Learn of an engine from one reading of this instance, or of a sibling that told.
+        """Update an engine's factor with one prefill of this instance, or one that a peer reported.
 
-        Where many instances send to the same engines, each of them measures one so rarely that it
-        would forget what it last showed.
+        Where many instances send to the same engines, each measures one engine so rarely that the
+        factor would decay between its own measurements.
         """
         held_log = self._log_factor(server_id)
         away = min(max(shown_log - held_log, -MOST_AWAY_LOG), MOST_AWAY_LOG)
@@ -180,7 +182,7 @@
     def _note_own_reading(
         self, service: ServiceName, reading: FirstEvent, effort: int, took_ms: float
     ) -> None:
-        """Learn what a service's usual engine takes."""
+        """Update the estimate for a service's usual engine."""
         usual = self.service(service).engine
         tokens = reading.before_tokens + reading.unread_tokens
         likely_ms = usual.base_ms + (reading.before_tokens + effort) * usual.token_ms
@@ -189,21 +191,21 @@
         self._paces.pop(service, None)
 
     def answer_ms(self, service: ServiceName) -> float:
-        """Return the usual time of a whole answer, without waiting."""
+        """Return the usual time of a complete answer, without queueing."""
         return self._answer_ms.get(service, FIRST_ANSWER_MS)
 
     def note_answer(self, service: ServiceName, took_ms: float) -> None:
-        """Learn from a whole answer."""
+        """Record the time of a complete answer."""
         held = self.answer_ms(service)
         self._answer_ms[service] = held + ANSWER_WEIGHT * (took_ms - held)
 
     def output_token_most_ms(self, service: ServiceName) -> float:
-        """Return the time that a token of an answer takes at most, as far as was seen."""
+        """Return the estimated maximum time of an output token."""
         pace = self._outputs.get(service, _OutputPace())
         return pace.mean_ms + MOST_DEVIATIONS * pace.deviation_ms
 
     def note_output(self, service: ServiceName, told_tokens: int, took_ms: float) -> None:
-        """Learn from the time between a stream's first event and its end."""
+        """Record the time between a stream's first event and its end."""
         if told_tokens < TELLING_OUTPUT_TOKENS:
             return
         pace = self._outputs.setdefault(service, _OutputPace())
@@ -212,7 +214,7 @@
         pace.deviation_ms += OUTPUT_WEIGHT * (abs(away_ms) - pace.deviation_ms)
 
     def learned(self) -> dict[str, list[float]]:
-        """Return what was learned of each service, for the log: base, 1,000 tokens, pairs (ms)."""
+        """Return the weights (ms) of each service for the log: base, 1,000 tokens, million pairs."""
         return {
             service: [round(weight, 2) for weight in fit.weights]
             for service, fit in self._services.items()
--- a/sparline/placement/_place_judge.py
+++ b/sparline/placement/_place_judge.py
@@ -1,4 +1,4 @@
-"""What a request would lose at a backend server: its time, what it delays, what is read again."""
+"""Expected loss of a request at a backend server: latency, delay of others and repeated prefill."""
 
 import random
 from collections.abc import Callable
@@ -20,68 +20,68 @@
 from sparline.requests import RoutedRequest
 from sparline.routes import EngineFigures, Service
 
-# What operators would rather not pay, as parts of the credit of a token of prompt: for a token
-# that is read again though an engine keeps it, and for each MB of memory that an engine passes on.
+# Operating costs in units of the credit of one prompt token: for each token that is prefilled again
+# although an engine has it cached, and for each MB that an engine transfers.
 REREAD_LOSS = 0.36
 FETCH_MB_LOSS = 0.11
 BYTES_A_MB = 1_000_000
-# A fetch waits its turn behind others on the same link: its own time, this many times.
+# A fetch waits for others on the same link: factor on its own transfer time.
 FETCH_TURNS = 1.5
-# Part of its own credit that a request loses where its own pauses become too long.
+# Fraction of its own credit that a request loses if its own gaps become too long.
 OWN_DELAY_LOSS = 0.5
-# The same as parts of the credit of a request, for its bytes between regions and one more hop,
-# and for its bytes between availability zones.
+# Loss relative to the credit of a request, for its bytes between regions and one more hop, and for
+# its bytes between availability zones.
 FAR_LOSS = 0.03
 OTHER_ZONE_LOSS = 0.02
-# Loss for a sure failure, against the credit of a request.
+# Loss for a certain failure, relative to the credit of a request.
 FAILURE_LOSS = 1.5
-# A share of failures so much above what is usual at the candidates says nothing of a server: it
-# is of the last ten requests, and swings.
+# A failure share that exceeds the median of the candidates by up to this much is not significant:
+# it covers the last ten requests only, and fluctuates.
 FAILURE_SWING = 0.15
-# Engines are filled up to this part of their memory; beyond it, and beyond their slots, a
-# request waits or makes another wait, and loses this.
+# Engines are filled up to this fraction of their cache; beyond it, and beyond their slots, a
+# request waits or makes another wait, at this loss.
 MEMORY_FILL = 0.9
 MEMORY_LOSS = 1.0
-# Time of an exchange beside all waiting (ms).
+# Time of a request and its response apart from all waiting (ms).
 EXCHANGE_MS = 8.0
-# A reading delays all that comes until its engine is idle again. Where half of an engine's time is
-# taken and a loss goes with the square of the time, the worth that comes in a reading's time loses
-# so many times the square of the queue before it against the wanted time: where an engine ends and
-# the rest is overloaded, long requests are refused first.
+# A prefill delays all arrivals until its engine is idle again. If an engine is half busy and loss
+# grows with the square of the time, the value that arrives during a prefill loses this many times
+# the square of the queueing time relative to the target: when an engine crashes and the rest are
+# overloaded, long requests are rejected first.
 DISPLACED = 2.0
-# Instances that place a start at the same moment, before any has told, agree on its owner:
-# the advantage that it has then.
+# Loss reduction for the owner of a prefix, so that instances that place requests with it at the
+# same moment, before any has reported, choose the same engine.
 OWNER_GAIN = 0.05
-# The same for a start that one engine of the whole fleet is to read: an owner in another region
-# has to outweigh the way there (0.1 to 0.2), or each region reads it for itself.
+# The same for a prefix that one engine of the whole fleet is to prefill: it has to outweigh the
+# network round trip (0.1 to 0.2) to an owner in another region, or each region prefills it itself.
 FLEET_OWNER_GAIN = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementTables:
-    """Hold what the choice is made from."""
+    """State that the choice is based on."""
 
-    fleet: FleetState  # what is in force
+    fleet: FleetState  # configuration and servers in force
     loads: LoadTable  # load of backend servers
-    health: HealthTable  # what requests showed
+    health: HealthTable  # health of servers
     cold: ColdShares  # rates of cold servers
     limits: LimitShares  # request rate limits set by servers
-    cache: PromptCache  # prompt parts at engines
+    cache: PromptCache  # prompt prefixes cached by engines
     pace: PaceTable  # times of services and engines
-    pauses: PauseTable  # which readings make pauses too long
-    credit: CreditTable  # what requests usually earn
-    demand: DemandTable  # what callers ask for lately
-    sharing: Callable[[], int]  # instances whose callers share this region's engines
+    pauses: PauseTable  # which prefills make gaps too long
+    credit: CreditTable  # usual credit of requests
+    demand: DemandTable  # recent demand of callers
+    sharing: Callable[[], int]  # number of instances whose callers share this region's engines
     peers: Callable[[RegionName], list[Member]]  # live instances of a region
-    round_trip_ms: Callable[[RegionName], float]  # time to a region and back
-    load_age_ms: Callable[[BackendServerId], float | None]  # age of what is known of its load
-    # Whether instances of a server's region told that it failed lately.
+    round_trip_ms: Callable[[RegionName], float]  # network round trip time to a region
+    load_age_ms: Callable[[BackendServerId], float | None]  # age of the known load of a server
+    # Whether instances of a server's region reported that it failed recently.
     is_doubted_there: Callable[[BackendServerId], bool]
 
 
 @dataclass(frozen=True, slots=True)
 class OwnPlace:
-    """Say where this instance stands."""
+    """Region and availability zone of this instance."""
 
     region: RegionName  # region of its availability zone
     zone: ZoneName  # its availability zone
@@ -89,19 +89,19 @@
 
 @dataclass(frozen=True, slots=True)
 class CommonFacts:
-    """Hold what is alike for all candidates of one request."""
+    """Facts that are the same for all candidates of one request."""
 
-    sound: frozenset[BackendServerId]  # those that nothing speaks against
-    kept: KeptPrompt  # where the start of its prompt is kept
-    usual_failing: float  # share of failures at the middle one of them
-    credit: int  # what the request earns, in tokens of prompt
-    usual_credit: float  # what the usual request of its service earns
-    demand: float  # worth that comes each ms to an engine, against that of the request
-    find_peers: Callable[[RegionName], list[Member]]  # instances of a region that take requests
-    peers: dict[RegionName, list[Member]] = field(default_factory=dict)  # those found so far
+    sound: frozenset[BackendServerId]  # healthy candidates
+    kept: KeptPrompt  # where the prefix of its prompt is cached
+    usual_failing: float  # median failure share of the candidates
+    credit: int  # credit of the request, in prompt tokens
+    usual_credit: float  # usual credit of a request of its service
+    demand: float  # value arriving at an engine per ms, relative to that of the request
+    find_peers: Callable[[RegionName], list[Member]]  # live instances of a region
+    peers: dict[RegionName, list[Member]] = field(default_factory=dict)  # cached results
 
     def peers_in(self, region: RegionName) -> list[Member]:
-        """Return the instances of a region; all its servers are reached by the same ones."""
+        """Return the instances of a region, which are the same for all its servers."""
         found = self.peers.get(region)
         if found is None:
             found = self.peers[region] = self.find_peers(region)
@@ -110,23 +110,23 @@
 
 @dataclass(frozen=True, slots=True)
 class _Work:
-    """Describe what an engine has to do for a request before its first event."""
+    """Work of an engine before the first event of a request."""
 
-    unread_tokens: int  # tokens that it reads
-    effort_tokens: int  # the reading, as tokens at a prompt's start that take as long
-    fetched_tokens: int  # tokens that another engine passes on to it
+    unread_tokens: int  # tokens that it prefills
+    effort_tokens: int  # prefill, as tokens at the start of a prompt that take as long
+    fetched_tokens: int  # tokens that another engine transfers to it
     source: BackendServer | None  # that engine
-    reread_tokens: int  # tokens that it reads though some engine keeps them
+    reread_tokens: int  # tokens that it prefills although some engine has them cached
 
 
 NO_WORK = _Work(0, 0, 0, None, 0)
 
 
 class PlaceJudge:
-    """Judge places for the requests of one region."""
+    """Estimates the loss of requests of one region at a server."""
 
     def __init__(self, place: OwnPlace, tables: PlacementTables, chance: random.Random) -> None:
-        """Judge by the tables of one instance."""
+        """Estimate from the tables of one instance."""
         self._place = place
         self._tables = tables
         self._chance = chance
@@ -138,7 +138,7 @@
         server: BackendServer,
         common: CommonFacts,
     ) -> Placement | None:
-        """Return what a request would lose at a server, None where no instance can send it."""
+        """Return the placement at a server with its loss, None if no instance can send it there."""
         peer = None
         way_ms = 0.0
         if server.region != self._place.region:
@@ -174,12 +174,12 @@
     def _doubt(self, server: BackendServer, common: CommonFacts) -> Doubt:
         if server.id not in common.sound:
             return Doubt.PASSED_OVER
-        # A server that is down has no load and looks best from afar.
+        # A server that is down reports no load and looks best from another region.
         far = server.region != self._place.region
         return Doubt.PASSED_OVER if far and self._tables.is_doubted_there(server.id) else Doubt.NONE
 
     def _server_loss(self, server: BackendServer, common: CommonFacts) -> float:
-        """Return what is lost by failures and by the way, less what the owner of a start gains."""
+        """Return the loss from failures and network distance, less the gain of a prefix's owner."""
         failing = self._tables.health.failing(server.id) - common.usual_failing
         loss = FAILURE_LOSS * max(failing - FAILURE_SWING, 0.0)
         if server.region != self._place.region:
@@ -193,7 +193,7 @@
     def _work(
         self, request: RoutedRequest, service: Service, server: BackendServer, kept: KeptPrompt
     ) -> _Work:
-        """Return what an engine would have to do before the request's first event."""
+        """Return the work of an engine before the request's first event."""
         if request.prompt is None:
             return NO_WORK
         unread = max(request.prompt.tokens - kept.at(server), 0)
@@ -221,7 +221,7 @@
         work: _Work,
         pace: EnginePace,
     ) -> float:
-        """Return the time to the answer or to the first event, at the server."""
+        """Return the time to the answer or the first event, without the network round trip."""
         usual_ms = self._tables.pace.answer_ms(service.name)
         if request.prompt is None or service.engine is None:
             work_ms = usual_ms * self._tables.health.pace(server.id)
@@ -242,9 +242,9 @@
         pace: EnginePace,
         common: CommonFacts,
     ) -> float:
-        """Return what is lost by reading again, by delaying streams, and for want of room."""
+        """Return the loss from repeated prefill, delayed streams and lack of memory or slots."""
         prompt = request.prompt
-        assert prompt is not None, "only requests with a prompt are judged by it"
+        assert prompt is not None, "request has no prompt"
         credit = common.credit
         fetched_mb = work.fetched_tokens * engine.token_bytes / BYTES_A_MB
         loss = (REREAD_LOSS * work.reread_tokens + FETCH_MB_LOSS * fetched_mb) / credit
@@ -267,7 +267,7 @@
 def _queue_loss(
     request: RoutedRequest, load: LoadOf, work: _Work, pace: EnginePace, common: CommonFacts
 ) -> float:
-    """Return what a reading loses for those that come behind it."""
+    """Return the loss of the requests that queue behind a prefill."""
     queue_ms = load.unread_tokens * pace.token_ms
     reading_ms = work.effort_tokens * pace.token_ms
     queue = queue_ms / request.route.wanted_latency_ms
--- a/sparline/placement/_placement.py
+++ b/sparline/placement/_placement.py
@@ -1,4 +1,4 @@
-"""Where a request goes and why, or why it goes nowhere."""
+"""Result of the choice of a server for a request: a placement or a refusal."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,36 +9,36 @@
 
 
 class Doubt(Enum):
-    """Rank candidates by how far they can be trusted; lower goes first."""
+    """Trust in a candidate; lower values are preferred."""
 
-    NONE = 0  # nothing speaks against it
-    PASSED_OVER = 1  # failed or fell silent lately
+    NONE = 0  # no sign of trouble
+    PASSED_OVER = 1  # failed or became unresponsive recently
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Send the request to a backend server, by way of a peer where it is elsewhere."""
+    """Backend server that a request is sent to, through a peer if it is in another region."""
 
-    server: BackendServer  # where to
+    server: BackendServer  # chosen server
     peer: Member | None  # instance in the server's region, None for this region
     expected_ms: float  # estimated time to the first event or answer
-    reading_ms: float  # part of it in which its own prompt is read
-    unread_tokens: int  # prompt tokens that have to be read there
-    effort_tokens: int  # the reading, as tokens at a prompt's start that take as long
-    source: BackendServer | None  # engine of its region that passes what it keeps on to it
-    loss: float  # what decided, against the credit of the request
-    load: LoadOf  # load of the server when this was decided
-    load_age_ms: float | None  # how old that was, None where nobody told
-    doubt: Doubt  # how far it is trusted
-    waits: bool = False  # whether it waits there for one of the slots
+    reading_ms: float  # part of it that the prefill of its own prompt takes
+    unread_tokens: int  # prompt tokens that have to be prefilled there
+    effort_tokens: int  # prefill, as tokens at the start of a prompt that take as long
+    source: BackendServer | None  # engine of its region that transfers its cached prefix
+    loss: float  # value that the choice minimised, relative to the credit of the request
+    load: LoadOf  # load of the server at that time
+    load_age_ms: float | None  # age of that load, None if unknown
+    doubt: Doubt  # trust in the server
+    waits: bool = False  # whether it has to wait there for a free slot
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Run the request nowhere."""
+    """Decision to send a request to no server."""
 
-    reason: Reason  # why
-    retry_after_ms: float  # when to come back
-    candidates: int  # backend servers that were looked at
-    best: Placement | None = None  # place that would have lost least, None without any
-    why: RefusedFor | None = None  # what spoke against that place
+    reason: Reason  # reason
+    retry_after_ms: float  # Retry-After
+    candidates: int  # number of backend servers considered
+    best: Placement | None = None  # placement with the lowest loss, None without any
+    why: RefusedFor | None = None  # why that placement was rejected
--- a/sparline/placement/_prompt_cache.py
+++ b/sparline/placement/_prompt_cache.py
@@ -1,4 +1,4 @@
-"""Which prompt parts each engine probably keeps, from what was sent there by anyone."""
+"""Estimate of the prompt prefixes in each engine's cache, from the requests of all instances."""
 
 import random
 from collections import OrderedDict
@@ -11,46 +11,49 @@
 from sparline.requests import Prompt
 from sparline.schema._gossip import PromptReadNote
 
-# Shared starts at least this long are read by one engine of the whole fleet (tokens): the way
-# there and back costs less than reading them again.
+# Shared prefixes of at least this length are prefilled by one engine of the whole fleet (tokens):
+# the round trip costs less than prefilling them again.
 FLEET_WIDE_TOKENS = 4_000
-# Part of an engine's memory that shared parts may take before the oldest count as given up.
+# Fraction of an engine's cache that shared prefixes may fill before the oldest count as evicted.
 KEPT_SHARE = 0.5
-# A read is told to peers for this long (ms): every one of a small fleet's turns comes within it.
+# A cached prefix is reported to peers for this long (ms), which covers every gossip round of a
+# small fleet.
 TELL_MS = 2_500.0
-# Most reads told in one datagram (count), by chance, so that it stays below 1,400 bytes.
+# Maximum number of reports in one datagram, a random sample if there are more, so that it stays
+# below 1,400 bytes.
 MOST_TOLD = 10
-# Two uses of a start that are closer than this are one (ms): what goes round by several ways comes with
-# ages that differ a little.
+# Two uses of a prefix within this time count as one (ms): reports that arrive on several paths have
+# ages that differ slightly.
 SAME_USE_MS = 100.0
-# Reads heard from peers that are remembered (count), and for how long (ms) at engines of other
-# regions, of whose other work nothing is known here.
+# Maximum number of reports from peers that are kept, and how long they are kept (ms); engines of
+# other regions do work that is unknown here.
 MOST_HEARD = 20_000
 HEARD_MS = 120_000.0
-# Engines give up what was not asked for longest. A start counts as kept until this part of an
-# engine's memory has been filled by other prompts since its last use; the rest holds running ones.
+# Engines evict the least recently used prefix. A prefix counts as cached until other prompts have
+# filled this fraction of an engine's cache since its last use; the rest holds running requests.
 FILLED_SHARE = 0.5
-# A start can be passed on to another engine so long after its first use (ms): reading it takes
-# some hundred ms, and before that there is nothing to pass on.
+# Time after its first use from which a prefix can be transferred to another engine (ms): its
+# prefill takes some hundred ms, and before that there is nothing to transfer.
 READ_BY_MS = 600.0
 
 
 @dataclass(frozen=True, slots=True)
 class _Use:
-    """Hold when a start was last used at an engine."""
+    """Uses of a prefix at an engine."""
 
-    since_ms: float  # first use since it was last given up, on this process's clock
+    since_ms: float  # first use since the last eviction, on this process's clock
     at_ms: float  # last use
-    filled: int  # tokens that this instance had let the engine take in by then
+    filled: int  # tokens that this instance had sent to the engine by then
 
 
 class PromptCache:
-    """Remember which starts of prompts each engine has read; the oldest give way."""
+    """Remembers which prompt prefixes each engine has prefilled, evicting the oldest."""
 
     def __init__(self, owners_have_read: bool, sharing: Callable[[], int] = lambda: 1) -> None:
-        """`owners_have_read` says whether starts that nobody told of were read before.
+        """Start empty.
 
-        `sharing` tells how many instances send to the same engines as this one.
+        `owners_have_read` says whether prefixes that no instance reported are taken to be cached by
+        their owner. `sharing` returns how many instances send to the same engines as this one.
         """
         self._sharing = sharing
         self._filled: dict[BackendServerId, int] = {}
@@ -64,7 +67,7 @@
         self._heard_starts: dict[int, int] = {}
 
     def note(self, prompt: Prompt, server_id: BackendServerId, cache_tokens: int) -> None:
-        """Note that an engine takes a prompt in, its shared start too."""
+        """Record that an engine prefills a prompt including its shared prefix."""
         taken = prompt.held_tokens - self.cached_tokens(prompt, server_id)
         self._filled[server_id] = self._filled.get(server_id, 0) + taken
         self._memory[server_id] = cache_tokens
@@ -83,7 +86,7 @@
             self._take_read((_hash(prompt), server_id), now_ms())
 
     def recent_reads(self) -> list[PromptReadNote]:
-        """Return the reads to tell peers, some of them where there are many."""
+        """Return the reports for peers, a random sample if there are many."""
         now = now_ms()
         since = now - TELL_MS
         self._news = {key: at_ms for key, at_ms in self._news.items() if at_ms >= since}
@@ -93,13 +96,13 @@
         return [PromptReadNote(round(now - self._news[key]), *key) for key in keys]
 
     def take_reads(self, notes: list[PromptReadNote]) -> None:
-        """Take in what a peer told; the newest use of each start at each engine counts."""
+        """Merge reports from a peer; the latest use of each prefix at each engine counts."""
         now = now_ms()
         for note in notes:
             self._take_read((note.start, note.backend_server), now - max(note.age_ms, 0))
 
     def _take_read(self, key: tuple[int, str], at_ms: float) -> None:
-        """Note that an engine used a start then; what is news is told on."""
+        """Record that an engine used a prefix at a time, and queue it for peers if it is new."""
         known = self._heard.get(key)
         if known is not None and at_ms < known.at_ms + SAME_USE_MS:
             return
@@ -118,7 +121,7 @@
             del self._heard_starts[start]
 
     def cached_tokens(self, prompt: Prompt, server_id: BackendServerId) -> int:
-        """Return how much of a prompt an engine probably keeps."""
+        """Return how many tokens of a prompt an engine probably has cached."""
         if prompt.shared_tokens >= FLEET_WIDE_TOKENS:
             use = self._heard.get((_hash(prompt), server_id))
             return prompt.shared_tokens if use and self._is_kept(use, server_id) else 0
@@ -138,12 +141,12 @@
         return _Use(since_ms, at_ms, self._filled.get(server_id, 0))
 
     def can_pass_on(self, prompt: Prompt, server_id: BackendServerId) -> bool:
-        """Tell whether an engine has read a start and not just begun to."""
+        """Tell whether an engine has finished the prefill of a prefix, as far as is known."""
         use = self._heard.get((_hash(prompt), server_id))
         return use is None or now_ms() - use.since_ms >= READ_BY_MS
 
     def _is_kept(self, use: _Use, server_id: BackendServerId) -> bool:
-        """Tell whether an engine still keeps what was used then, as far as can be told."""
+        """Tell whether a prefix used at that time is probably still cached."""
         if use.at_ms <= now_ms() - HEARD_MS:
             return False
         filled = (self._filled.get(server_id, 0) - use.filled) * max(self._sharing(), 1)
@@ -151,7 +154,7 @@
         return memory is None or filled < FILLED_SHARE * memory
 
     def owner_has_read(self, prompt: Prompt) -> bool:
-        """Tell whether the owner of a start is taken to keep it though nobody told of it."""
+        """Tell whether the owner of a prefix is taken to have cached it without any report."""
         if prompt.shared_tokens < FLEET_WIDE_TOKENS:
             return True
         return self._owners_have_read and _hash(prompt) not in self._heard_starts
@@ -166,12 +169,12 @@
 
 
 def _hash(prompt: Prompt) -> int:
-    # Half of the hash, so that it stays a number that every codec carries.
+    # One bit less, so that the hash fits a signed 64-bit integer in every codec.
     return hash64(prompt.shared_starts[-1].key) >> 1
 
 
 def owner_of(prompt: Prompt, engines: list[BackendServerId]) -> BackendServerId | None:
-    """Return the engine that all instances agree on for a prompt's start."""
+    """Return the engine that all instances choose for a prompt's prefix, by rendezvous hashing."""
     if not prompt.shared_starts or not engines:
         return None
     key = prompt.shared_starts[-1].key
--- a/sparline/placement/_shortlist.py
+++ b/sparline/placement/_shortlist.py
@@ -1,8 +1,8 @@
-"""Which backend servers of a large service are looked at for one request.
+"""Subset of the backend servers of a large service that is considered for one request.
 
-A choice looks at each candidate, so that its time grows with them; of a service of hundreds it looks at
-some. All that share a start of a prompt look at the same ones in each region, whichever instance asks:
-an engine that keeps the start is among them.
+The time of a choice grows with the number of candidates, so that only some of hundreds are
+considered. All requests that share a prompt prefix get the same subset of each region on every
+instance, so that an engine with the prefix in its cache is among them.
 """
 
 import random
@@ -14,10 +14,11 @@
 from sparline.fleet import BackendServer
 from sparline.requests import RoutedRequest
 
-# Services of up to so many servers are looked at whole (count): a choice then takes about a millisecond.
+# Services of up to this many servers are considered completely: a choice then takes about a
+# millisecond.
 MOST_WHOLE = 64
-# Servers of the own region, of all others together and of one of them, that are looked at otherwise
-# (count).
+# Numbers of servers considered otherwise: of the own region, of all others together, and of one of
+# these.
 MOST_NEAR = 40
 MOST_FAR = 24
 MOST_IN_FAR_REGION = 12
@@ -25,17 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _Slices:
-    """Hold one service's servers by region, dealt into slices of about equal size."""
+    """Servers of one service by region, dealt into slices of about equal size."""
 
-    servers: list[BackendServer]  # what was dealt
-    by_region: dict[RegionName, list[list[BackendServer]]]  # slices of each region
+    servers: list[BackendServer]  # all servers
+    by_region: dict[RegionName, list[list[BackendServer]]]  # slices by region
 
 
 class Shortlist:
-    """Name the servers that are looked at."""
+    """Selects the servers that are considered."""
 
     def __init__(self, region: RegionName, chance: random.Random) -> None:
-        """Serve the callers of an instance in a region."""
+        """Select for the callers of an instance in a region."""
         self._region = region
         self._chance = chance
         self._slices: dict[str, _Slices] = {}
@@ -67,7 +68,7 @@
         }
 
     def _point(self, request: RoutedRequest) -> int:
-        """Return what decides on the slices: the longest start that others share, else chance."""
+        """Return what selects the slices: hash of the longest shared prefix, else random."""
         starts = request.prompt.shared_starts if request.prompt else ()
         return hash64(starts[-1].key) if starts else self._chance.getrandbits(64)
 
@@ -77,6 +78,6 @@
 
 
 def _cut(servers: list[BackendServer], most: int) -> list[list[BackendServer]]:
-    """Deal servers into as few slices as hold at most so many each."""
+    """Deal servers into the fewest slices of at most `most` servers."""
     count = -(-len(servers) // most)
     return [servers[number::count] for number in range(count)]
--- a/sparline/placement/_stream_watch.py
+++ b/sparline/placement/_stream_watch.py
@@ -1,4 +1,4 @@
-"""What one stream's events show of its engine: how it reads, and how it delays others."""
+"""What the events of one stream show about its engine: prefill speed and gaps between events."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,32 +10,32 @@
 from sparline.placement._placement import Placement
 from sparline.requests import RoutedRequest
 
-# A reading surely goes on for this part of the time that it is expected to take.
+# Fraction of its expected time during which a prefill is certainly running.
 SURE_PART = 0.8
 
 
 @dataclass(frozen=True, slots=True)
 class WatchTables:
-    """Hold what streams teach, and the loads that explain it."""
+    """Tables that streams update, and the loads that explain their gaps."""
 
     pace: PaceTable  # times of services and engines
-    pauses: PauseTable  # which readings make pauses too long
+    pauses: PauseTable  # which prefills make gaps too long
     loads: LoadTable  # load of backend servers
-    thawed_at_ms: Callable[[], float] = lambda: 0.0  # when this process last stood still
+    thawed_at_ms: Callable[[], float] = lambda: 0.0  # when this process last resumed
 
 
 @dataclass(frozen=True, slots=True)
 class _PauseReading:
-    """Describe a reading that began in a pause."""
+    """Prefill that began during a gap."""
 
-    all_ms: float  # how long the engine had to read then
-    sure_until_ms: float  # until when it surely read
-    pause_ms: float  # length of that pause
-    is_first: bool  # whether nothing else was to be read
+    all_ms: float  # time that the engine needed for the whole queue
+    sure_until_ms: float  # until when it was certainly busy with prefill
+    pause_ms: float  # length of that gap
+    is_first: bool  # whether nothing else was queued
 
 
 class StreamWatch:
-    """Watch the events of one run of one request."""
+    """Watches the events of one attempt of a request."""
 
     def __init__(
         self,
@@ -56,9 +56,9 @@
         self._began: _PauseReading | None = None
 
     def note_event(self) -> None:
-        """Note an event that has just arrived whole."""
+        """Record an event that has just arrived completely."""
         if self._placement.peer is not None:
-            # Its time holds the way and another instance's choice as well.
+            # Its time includes the network round trip and another instance's choice.
             self._reservation.note_first_event()
             return
         self._events += 1
@@ -73,7 +73,7 @@
         self._event_at_ms = now_ms()
 
     def note_end(self) -> None:
-        """Note that the answer is whole."""
+        """Record that the answer is complete."""
         if self._placement.peer is not None or self._stood_still_since(self._sent_at_ms):
             return
         service = self._request.service
@@ -84,11 +84,11 @@
             self._tables.pace.note_output(service, prompt.most_output_tokens, took_ms)
 
     def _stood_still_since(self, at_ms: float) -> bool:
-        """Tell whether a time holds a pause of this process, which no engine is to be judged by."""
+        """Tell whether this process was suspended since then, which makes the time meaningless."""
         return self._tables.thawed_at_ms() > at_ms
 
     def _note_first(self) -> float | None:
-        """Learn how quickly the engine reads, where nothing else held the request up."""
+        """Learn how fast the engine prefills, unless something else delayed the request."""
         place = self._placement
         prompt = self._request.prompt
         if prompt is None or place.source is not None or place.waits:
@@ -103,7 +103,7 @@
         return pace.note_first_event(self._request.service, place.server.id, reading, took_ms)
 
     def _note_pause(self, pause_ms: float) -> None:
-        """Learn from a pause in which this instance let a reading begin, and from the next."""
+        """Learn from a gap in which this instance sent a prompt, and from the next one."""
         service = self._request.service
         wanted_ms = self._request.route.pause_target_ms
         pauses = self._tables.pauses
@@ -117,12 +117,12 @@
             pauses.note_quiet(service, wanted_ms, self._began.all_ms, pause_ms)
 
     def _reading_of(self, pause_ms: float) -> _PauseReading | None:
-        """Return the reading that this instance let begin in the pause, None without one."""
+        """Return the prefill that this instance sent during the gap, None without one."""
         reading = self._tables.loads.last_reading(self._placement.server.id)
         if reading is None or reading.at_ms < self._event_at_ms:
             return None
         pace = self._tables.pace.engine(self._request.service, self._placement.server.id)
-        # Nobody tells how far the readings before it had come: they count as over here.
+        # Progress of the prefills queued before is not reported: count them as finished.
         sure_ms = SURE_PART * reading.tokens * pace.token_ms
         return _PauseReading(
             all_ms=(reading.before_tokens + reading.tokens) * pace.token_ms,
