--- a/sparline/placement/tests/test_choice.py
+++ b/sparline/placement/tests/test_choice.py
@@ -1,3 +1,5 @@
+"""Choice of a server: loss, refusals, prompt caches, rate limits and backoff."""
+
 import dataclasses
 import random
 
@@ -44,7 +46,7 @@
 
 
 class World:
-    """Hold the tables of one instance in the north."""
+    """Tables of one instance in the north."""
 
     def __init__(self, *servers: BackendServer, far_peers: bool = True) -> None:
         self.loads: dict[str, LoadOf] = {}
@@ -117,7 +119,7 @@
 
 SOUTH_ONLY = make_route(homes=frozenset((SOUTH,)))
 RELAYED = {"origin": Origin.RELAY}
-# An engine whose queue makes a request later than its wanted 800 ms.
+# An engine whose queue makes a request later than its target of 800 ms.
 LATE = LoadOf(3, 60_000, 41_000)
 NO_PAUSES = make_route(pause_target_ms=0.0)
 LEAVING = make_server("n1", leaving=True)
@@ -125,38 +127,38 @@
 COLD = make_server("n1", cold_until_ms=now_ms() + 1e9)
 
 CHOICES = [
-    ("the own region", (N1, S1), None, make_request(), "n1"),
-    ("the only one, elsewhere", (S1,), None, make_request(), "s1"),
-    ("elsewhere without an instance there", (S1,), "no peers", make_request(), "refused: no_backend"),
-    ("nobody", (), None, make_request(), "refused: no_backend"),
-    ("a home elsewhere", (N1, S1), None, make_request(SOUTH_ONLY), "s1"),
-    ("a home elsewhere, none there", (N1,), None, make_request(SOUTH_ONLY), "refused: no_backend"),
-    ("a relayed request stays", (S1,), None, make_request(**RELAYED), "refused: no_backend"),
-    ("a leaving one is passed over", (LEAVING, S1), None, make_request(), "s1"),
-    ("the own zone", (OTHER_ZONE, N2), None, make_request(), "n2"),
-    ("another zone of the region", (OTHER_ZONE, N2), set_load(n2=BUSY), make_request(), "n3"),
-    ("tried already", (N1, N2), None, make_request(), "n2", ("n1",)),
-    ("the less loaded one", (N1, N2), set_load(n1=BUSY), make_request(), "n2"),
-    ("elsewhere where home is loaded", (N1, S1), set_load(n1=BUSY), make_request(), "s1"),
-    ("refused where all are loaded", (N1, S1), set_load(n1=BUSY, s1=BUSY), make_request(), "refused: deadline_unreachable"),
-    ("a full engine", (N1, S1), set_load(n1=FULL), make_request(), "s1"),
-    ("one that fails", (N1, N2), fail_often, make_request(), "n2"),
-    ("one that fails, but there is no other", (N1,), fail_often, make_request(), "n1"),
-    ("one whose address another has, and there is no other", (N1,), lambda w: w.health.note_misdirected(N1.id), make_request(), "refused: no_backend"),
-    ("one that fails often among others that fail now and then", (N1, N2, N3), lambda w: (fail_often(w), fail_as_usual(w, N2), fail_as_usual(w, N3)), make_request(), ("n2", "n3")),
-    ("failures that are usual", (N1, S1), fail_as_usual, make_request(), "n1"),
-    ("a long start where it was read", (N1, N2, S1), read_long_at(S1), make_request(prompt=LONG), "s1"),
-    ("a long start whose engine is loaded", (N1, S1), lambda w: (read_long_at(S1)(w), w.loads.update(s1=BUSY)), make_request(prompt=LONG), "n1"),
-    ("a short one beside a long one that waits", (N1, N2), set_load(n1=LoadOf(1, 17_000, 17_000)), make_request(prompt=SHORT), "n2"),
-    ("a very long prompt beside other work", (N1,), set_load(n1=LoadOf(10, 100_000, 0)), make_request(prompt=VERY_LONG), "n1"),
-    ("a very long prompt that would wait long", (N1,), set_load(n1=BUSY), make_request(prompt=VERY_LONG), "refused: deadline_unreachable"),
-    ("a relayed one is given back sooner", (N1,), set_load(n1=LATE), make_request(NO_PAUSES, **RELAYED), "refused: deadline_unreachable"),
-    ("where a caller's own is taken", (N1,), set_load(n1=LATE), make_request(NO_PAUSES), "n1"),
-    ("a relayed one in time is taken", (N1,), set_load(n1=LoadOf(3, 30_000, 22_000)), make_request(**RELAYED), "n1"),
+    ("own region", (N1, S1), None, make_request(), "n1"),
+    ("only server, in another region", (S1,), None, make_request(), "s1"),
+    ("other region without a live instance", (S1,), "no peers", make_request(), "refused: no_backend"),
+    ("no servers", (), None, make_request(), "refused: no_backend"),
+    ("home in another region", (N1, S1), None, make_request(SOUTH_ONLY), "s1"),
+    ("home in another region without servers", (N1,), None, make_request(SOUTH_ONLY), "refused: no_backend"),
+    ("relayed request is not relayed again", (S1,), None, make_request(**RELAYED), "refused: no_backend"),
+    ("leaving server is skipped", (LEAVING, S1), None, make_request(), "s1"),
+    ("own zone", (OTHER_ZONE, N2), None, make_request(), "n2"),
+    ("loaded own zone", (OTHER_ZONE, N2), set_load(n2=BUSY), make_request(), "n3"),
+    ("server tried already", (N1, N2), None, make_request(), "n2", ("n1",)),
+    ("less loaded server", (N1, N2), set_load(n1=BUSY), make_request(), "n2"),
+    ("other region if own is loaded", (N1, S1), set_load(n1=BUSY), make_request(), "s1"),
+    ("refused if all are loaded", (N1, S1), set_load(n1=BUSY, s1=BUSY), make_request(), "refused: deadline_unreachable"),
+    ("full engine", (N1, S1), set_load(n1=FULL), make_request(), "s1"),
+    ("failing server", (N1, N2), fail_often, make_request(), "n2"),
+    ("only server is failing", (N1,), fail_often, make_request(), "n1"),
+    ("only server has lost its address to another", (N1,), lambda w: w.health.note_misdirected(N1.id), make_request(), "refused: no_backend"),
+    ("server that fails more often than the others", (N1, N2, N3), lambda w: (fail_often(w), fail_as_usual(w, N2), fail_as_usual(w, N3)), make_request(), ("n2", "n3")),
+    ("usual failure share", (N1, S1), fail_as_usual, make_request(), "n1"),
+    ("long prefix where it is cached", (N1, N2, S1), read_long_at(S1), make_request(prompt=LONG), "s1"),
+    ("long prefix cached on a loaded engine", (N1, S1), lambda w: (read_long_at(S1)(w), w.loads.update(s1=BUSY)), make_request(prompt=LONG), "n1"),
+    ("short request avoids queued long prefill", (N1, N2), set_load(n1=LoadOf(1, 17_000, 17_000)), make_request(prompt=SHORT), "n2"),
+    ("very long prompt beside running requests", (N1,), set_load(n1=LoadOf(10, 100_000, 0)), make_request(prompt=VERY_LONG), "n1"),
+    ("very long prompt behind a long queue", (N1,), set_load(n1=BUSY), make_request(prompt=VERY_LONG), "refused: deadline_unreachable"),
+    ("relayed request is refused earlier", (N1,), set_load(n1=LATE), make_request(NO_PAUSES, **RELAYED), "refused: deadline_unreachable"),
+    ("caller's request is accepted at the same load", (N1,), set_load(n1=LATE), make_request(NO_PAUSES), "n1"),
+    ("relayed request in time is accepted", (N1,), set_load(n1=LoadOf(3, 30_000, 22_000)), make_request(**RELAYED), "n1"),
 ]  # fmt: skip
 
 
-def test_a_server_that_its_own_region_doubts_is_passed_over():
+def test_server_doubted_by_its_own_region_is_skipped():
     world = World(N1, S1, make_server("s2", "south"))
     world.loads.update(n1=BUSY, s2=LoadOf(2, 4_000, 3_000))
     assert world.choose(make_request()) == "s1"
@@ -165,20 +167,20 @@
 
 
 URGENT, PATIENT = make_route(priority=0), make_route(priority=2)
-# An engine reads for 240 ms before it comes to a new prompt.
+# Prefill of this queue takes the engine 240 ms.
 QUEUE = LoadOf(4, 30_000, 12_000)
 DEMANDS = [
-    # what came in the last second, what is asked for, chosen
-    ("nothing", [], make_request(PATIENT, prompt=LONG), "n1"),
-    ("as much as an engine reads", [(URGENT, SHORT)] * 5, make_request(PATIENT, prompt=LONG), "n1"),
-    ("more than it reads", [(URGENT, SHORT)] * 300, make_request(PATIENT, prompt=LONG), "refused: deadline_unreachable"),
-    ("more than it reads, and a short one", [(URGENT, SHORT)] * 300, make_request(URGENT, prompt=SHORT), "n1"),
-    ("much that is less urgent", [(PATIENT, SHORT)] * 300, make_request(URGENT, prompt=LONG), "n1"),
+    # arrivals in the last second, the request, the outcome
+    ("no arrivals", [], make_request(PATIENT, prompt=LONG), "n1"),
+    ("as much as the engine can prefill", [(URGENT, SHORT)] * 5, make_request(PATIENT, prompt=LONG), "n1"),
+    ("more than the engine can prefill", [(URGENT, SHORT)] * 300, make_request(PATIENT, prompt=LONG), "refused: deadline_unreachable"),
+    ("more than the engine can prefill, short request", [(URGENT, SHORT)] * 300, make_request(URGENT, prompt=SHORT), "n1"),
+    ("many less urgent arrivals", [(PATIENT, SHORT)] * 300, make_request(URGENT, prompt=LONG), "n1"),
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize("row", DEMANDS, ids=[row[0] for row in DEMANDS])
-def test_a_reading_is_priced_by_what_it_delays(row):
+def test_loss_of_prefill_includes_delay_of_arrivals(row):
     _, came, request, chosen = row
     world = World(N1)
     world.loads["n1"] = QUEUE
@@ -187,7 +189,7 @@
     assert world.choose(request) == chosen
 
 
-def test_demand_is_shared_by_the_engines_elsewhere_where_none_is_sound_here():
+def test_demand_is_divided_by_engines_of_other_regions_if_none_here_is_healthy():
     world = World(N1, *(make_server(f"s{number}", "south") for number in range(30)))
     world.health.note_unreachable(N1.id)
     world.loads.update({f"s{number}": QUEUE for number in range(30)})
@@ -197,7 +199,7 @@
 
 
 WAITS = [
-    # time that the caller has, told to come back after (ms)
+    # time that the caller has left, Retry-After (ms)
     (600.0, 500.0),
     (3_000.0, 1_000.0),
     (12_000.0, 4_000.0),
@@ -206,7 +208,7 @@
 
 
 @pytest.mark.parametrize(("left_ms", "wait_ms"), WAITS)
-def test_where_nothing_runs_callers_come_back_as_late_as_helps(left_ms, wait_ms):
+def test_retry_after_without_servers_follows_time_left(left_ms, wait_ms):
     world = World()
     refusal = world.chooser.choose(make_request(deadline_at_ms=now_ms() + left_ms + 1), frozenset())
     assert isinstance(refusal, Refusal)
@@ -214,14 +216,14 @@
 
 
 STREAMS = [
-    ("that has not begun", make_request(), False, Refusal),
-    ("that has begun", make_request(), True, Placement),
-    ("that goes on behind an event", make_request(resume_after=3), False, Placement),
+    ("not begun", make_request(), False, Refusal),
+    ("begun", make_request(), True, Placement),
+    ("resumed after an event", make_request(resume_after=3), False, Placement),
 ]
 
 
 @pytest.mark.parametrize("row", STREAMS, ids=[row[0] for row in STREAMS])
-def test_no_stream_that_has_begun_is_refused_for_load(row):
+def test_begun_stream_is_not_refused_for_load(row):
     _, request, has_begun, kind = row
     world = World(N1)
     world.loads["n1"] = LoadOf(running=64, held_tokens=200_000, unread_tokens=200_000)
@@ -229,7 +231,7 @@
 
 
 @pytest.mark.parametrize("row", CHOICES, ids=[row[0] for row in CHOICES])
-def test_the_place_that_loses_least(row):
+def test_placement_with_lowest_loss(row):
     _, servers, prepare, request, chosen, *excluded = row
     world = World(*servers, far_peers=prepare != "no peers")
     if callable(prepare):
@@ -239,17 +241,18 @@
 
 FETCHING = EngineFigures(64, 300_000, token_bytes=163_840, link_mbit_per_s=550_000.0, fetches=True)
 FETCHES = [
-    # name, engines, kept at, for so long (ms), loads, (server, source, tokens to read)
-    ("from a loaded one", (N1, N2), N1, 700.0, {"n1": BUSY}, ("n2", "n1", 4_000)),
-    ("not before it is read", (N1, N2), N1, 500.0, {"n1": BUSY}, ("n2", None, 17_000)),
-    ("not where the keeper is free", (N1, N2), N1, 700.0, {}, ("n1", None, 4_000)),
+    # name, engines, engine with the prefix, for how long (ms), loads, (server, source, tokens to
+    # prefill)
+    ("from a loaded engine", (N1, N2), N1, 700.0, {"n1": BUSY}, ("n2", "n1", 4_000)),
+    ("not before its prefill has ended", (N1, N2), N1, 500.0, {"n1": BUSY}, ("n2", None, 17_000)),
+    ("not if the engine with the prefix is free", (N1, N2), N1, 700.0, {}, ("n1", None, 4_000)),
     ("not from another region", (N1, S1), S1, 700.0, {"s1": BUSY}, ("n1", None, 17_000)),
-    ("not from one that fails", (N1, N2), N1, 700.0, "failing", ("n2", None, 17_000)),
+    ("not from a failing engine", (N1, N2), N1, 700.0, "failing", ("n2", None, 17_000)),
 ]
 
 
 @pytest.mark.parametrize("row", FETCHES, ids=[row[0] for row in FETCHES])
-def test_a_long_start_is_fetched(monkeypatch, row):
+def test_long_prefix_is_fetched(monkeypatch, row):
     _, servers, keeper, kept_ms, loads, expected = row
     world = World(*servers)
     services = world.fleet.configuration.services
@@ -266,7 +269,7 @@
     assert (place.server.id, source, place.unread_tokens) == expected
 
 
-def test_engines_that_fetch_nothing_are_not_told_to():
+def test_engines_without_fetch_support_do_not_fetch():
     world = World(N1, N2)
     read_long_at(N1)(world)
     world.loads["n1"] = BUSY
@@ -274,13 +277,13 @@
     assert (place.server.id, place.source, place.unread_tokens) == ("n2", None, 17_000)
 
 
-def test_an_evacuated_zone_gets_nothing():
+def test_evacuated_zone_gets_no_requests():
     world = World(N1, S1)
     world.fleet.evacuated = {N1.zone}
     assert world.choose(make_request()) == "s1"
 
 
-def test_a_cold_server_gets_its_rate_and_the_rest_goes_elsewhere():
+def test_requests_above_cold_rate_go_to_other_servers():
     world = World(COLD, S1)
     request = make_request()
     places = []
@@ -291,7 +294,7 @@
     assert places == ["n1", "s1", "s1"]
 
 
-def test_a_plain_request_avoids_a_full_service():
+def test_plain_request_avoids_full_server():
     route = make_route(
         kind=RequestKind.SAFE, shares=(ServiceShare(PLAIN, 1.0),), wanted_latency_ms=400.0
     )
@@ -303,7 +306,7 @@
     assert world.choose(make_request(route, prompt=None)) == "p2"
 
 
-def test_all_instances_agree_on_the_owner_of_a_start():
+def test_all_instances_agree_on_owner_of_prefix():
     engines = [BackendServerId(f"e{number}") for number in range(6)]
     prompts = [Prompt(9_000, 1, (PromptStart(f"/{number}", 8_000),)) for number in range(300)]
     owners = [owner_of(prompt, engines) for prompt in prompts]
@@ -315,7 +318,7 @@
 
 
 CACHES = [
-    # owners have read, told of, owner taken to have read
+    # owners taken to have cached, reported by a peer, result for this owner
     (False, False, False),
     (True, False, True),
     (True, True, False),
@@ -324,7 +327,7 @@
 
 
 @pytest.mark.parametrize(("assumed", "told", "taken"), CACHES)
-def test_owners_are_taken_to_have_read_only_where_nobody_told(assumed, told, taken):
+def test_owner_is_taken_to_have_cached_only_without_reports(assumed, told, taken):
     cache = PromptCache(owners_have_read=assumed)
     other = PromptCache(owners_have_read=False)
     other.note(LONG, N1.id, 300_000)
@@ -334,7 +337,7 @@
     assert cache.cached_tokens(LONG, N1.id) == (13_000 if told else 0)
 
 
-def test_the_oldest_starts_give_way():
+def test_oldest_prefixes_are_evicted():
     cache = PromptCache(owners_have_read=False)
     prompts = [Prompt(3_000, 1, (PromptStart(f"/{number}", 2_000),)) for number in range(10)]
     for prompt in prompts:
@@ -343,14 +346,14 @@
 
 
 FILLED = [
-    # tokens taken in since by this instance, instances that share, kept
-    ("little", 9_000, 1, True),
-    ("as much as the memory has room for", 13_000, 1, False),
-    ("little, but others send as much", 4_000, 4, False),
+    # tokens sent since by this instance, instances that share the engine, still cached
+    ("few tokens", 9_000, 1, True),
+    ("as many as the cache holds", 13_000, 1, False),
+    ("few tokens, but others send as many", 4_000, 4, False),
 ]
 
 
-def test_a_start_that_is_read_fills_the_memory_and_one_that_is_kept_does_not():
+def test_only_uncached_prefixes_fill_the_cache():
     cache = PromptCache(owners_have_read=False)
     other = Prompt(8_000, 0, (PromptStart("/other", 7_000),))
     cache.note(LONG, N1.id, 40_000)
@@ -365,7 +368,7 @@
 @pytest.mark.parametrize(
     ("taken", "sharing", "kept"), [row[1:] for row in FILLED], ids=[row[0] for row in FILLED]
 )
-def test_a_long_start_counts_as_kept_until_others_have_filled_the_memory(taken, sharing, kept):
+def test_long_prefix_counts_as_cached_until_cache_is_refilled(taken, sharing, kept):
     cache = PromptCache(owners_have_read=False, sharing=lambda: sharing)
     cache.note(LONG, N1.id, 20_000)
     cache.note(Prompt(taken, 0, ()), N1.id, 20_000)
@@ -373,7 +376,7 @@
 
 
 EFFORTS = [
-    # tokens to read, kept before them, the same at a prompt's start
+    # tokens to prefill, cached tokens before them, equivalent tokens at the start of a prompt
     (0, 20_000, 0),
     (1_000, 0, 1_012),
     (1_000, 39_500, 2_000),
@@ -382,19 +385,19 @@
 
 
 @pytest.mark.parametrize(("unread", "kept", "effort"), EFFORTS)
-def test_reading_takes_longer_behind_a_long_start(unread, kept, effort):
-    # By the first guess: 20 ms for 1,000 tokens, 0.5 ms for a million of pairs.
+def test_prefill_takes_longer_behind_a_long_prefix(unread, kept, effort):
+    # By the initial estimate: 20 ms for 1,000 tokens, 0.5 ms for a million pairs.
     assert PaceTable().service(ENGINES).effort_tokens(unread, kept) == effort
 
 
-def test_reads_that_are_remembered_are_bounded(monkeypatch):
+def test_number_of_kept_reports_is_bounded(monkeypatch):
     monkeypatch.setattr("sparline.placement._prompt_cache.MOST_HEARD", 3)
     cache = PromptCache(owners_have_read=True)
     cache.take_reads([PromptReadNote(0, number, "n1") for number in range(10)])
     assert len(cache._heard) == len(cache._heard_starts) == 3
 
 
-def test_a_read_goes_round_by_every_cache_and_then_ends(monkeypatch):
+def test_report_reaches_every_cache_and_then_stops(monkeypatch):
     at_ms = [1_000_000.0]
     monkeypatch.setattr(_prompt_cache, "now_ms", lambda: at_ms[0])
     caches = [PromptCache(owners_have_read=False) for _ in range(6)]
@@ -410,8 +413,8 @@
     assert sum(told) < 6 * 11 and not any(told[-6:])
 
 
-def test_each_use_of_a_start_is_told_again(monkeypatch):
-    # A start counts as kept until its engine has taken in enough since its last use.
+def test_each_use_of_a_prefix_is_reported_again(monkeypatch):
+    # A prefix counts as cached until its engine has taken in enough tokens since its last use.
     at_ms = [1_000_000.0]
     monkeypatch.setattr(_prompt_cache, "now_ms", lambda: at_ms[0])
     cache, peer = (PromptCache(owners_have_read=False) for _ in range(2))
@@ -423,9 +426,9 @@
     assert [note.age_ms for note in peer.recent_reads()] == [1_000]
 
 
-def test_a_region_that_turned_a_request_away_is_left_out_for_what_is_as_urgent():
+def test_region_that_refused_is_skipped_for_equally_urgent_requests():
     world = World(N1, S1)
-    # The near engine is late, the far one looks idle: what is known of it is old.
+    # The near engine is late; the far one looks idle because its known load is outdated.
     world.loads["n1"] = LATE
     request = make_request(make_route(priority=1))
     place = world.chooser.choose(request, frozenset())
@@ -433,18 +436,18 @@
     world.chooser.note_region_full(request, place)
     assert world.choose(request) == "refused: deadline_unreachable"
     assert world.choose(make_request(make_route(priority=0))) == "s1"
-    # A stream that has begun goes on where it can.
+    # A stream that has begun is continued wherever possible.
     assert world.chooser.choose(request, frozenset(), has_begun=True).server is S1
 
 
-def test_a_region_that_turned_a_request_away_is_asked_again_where_there_is_no_other():
+def test_region_that_refused_is_tried_again_if_it_is_the_only_one():
     world = World(S1)
     request = make_request()
     world.chooser.note_region_full(request, world.chooser.choose(request, frozenset()))
     assert world.choose(request) == "s1"
 
 
-def test_a_server_whose_share_is_used_up_gets_nothing():
+def test_server_whose_limit_share_is_used_up_gets_no_requests():
     world = World(N1, N2)
     world.limits.note_answer(N1.id, 1.0)
     sent = []
--- a/sparline/placement/tests/test_cold_shares.py
+++ b/sparline/placement/tests/test_cold_shares.py
@@ -1,17 +1,18 @@
-"""A cold server's rate holds over all instances, also over those that have only just started.
-
-Symptom: a cold backend server that bears 4 requests a second, and 9 in any one second at the
-most, got 11 in a second and then answered nobody.
-Sequence: a backend server starts cold; all 79 instances lose power; they come back within about
-a second of each other, as fast as each processor allows, and take requests as soon as they know
-the configuration, 0.02 to 0.08 s after their start.
-Cause: the rate is shared out among the instances of the region that one knows, and whoever is not
-known counts as not there. An instance that knows nobody yet takes the whole rate for itself, one
-that knows up to three takes part whatever the server, and all who start together do so at once.
-What settled it, in a run of 26 instances a region: one cold server got 9 requests in a second
-from 8 instances, the first of them twice within 0.34 s, which is the pause of a lone instance;
-the siblings had met each other only 0.5 to 1.5 s after their start; the entries told all along
-that the server was cold (1,889 ms left, then 793 ms), so nobody took it for warm.
+"""A cold server's rate holds over all instances, including those that have just started.
+
+Guards against a cold backend server, which takes 4 requests a second and at most 9 in any one
+second, getting 11 in a second and then answering no one.
+
+It happened when all 79 instances restarted after a power loss, within about a second of each other,
+as fast as each processor allowed, while a backend server was cold. They accept requests as soon as
+they have the configuration, 0.02 to 0.08 s after their start. The rate is divided between the known
+instances of the region, and an unknown instance counts as absent: an instance that knows no others
+uses the whole rate, and one that knows up to three always has a share.
+
+In a run with 26 instances a region, one cold server got 9 requests in a second from 8 instances, of
+which the first sent two within 0.34 s, the interval of a lone instance. The instances of the region
+met each other only 0.5 to 1.5 s after their start. The server's entries said throughout that it was
+cold (1,889 ms left, then 793 ms), so that no instance took it for warm.
 """
 
 import random
@@ -23,20 +24,20 @@
 from sparline.tests.routed import make_server
 
 RATE_PER_S = 4.0
-# What a cold server bears in any one second, from all instances together.
+# Maximum that a cold server takes in any one second, from all instances together.
 BEARS_IN_A_SECOND = 9
 SECOND_MS = 1_000.0
 
 
 def start(fleet: FakeFleet, region: int, numbers: Iterable[int], over_s: float) -> None:
-    """Let instances of a region start at moments drawn from a time."""
+    """Start instances of a region at random times within a period."""
     for number in numbers:
         after_ms = fleet.chance.uniform(0, over_s * 1000)
         fleet.start(f"10.{region}.0.{number}", str(region), after_ms)
 
 
 def run(fleet: FakeFleet, seconds: float) -> list[float]:
-    """Let every instance of the first region send whenever it may; return when they sent."""
+    """Let every instance of the first region send whenever it may; return the times of sending."""
     server = make_server("s1", "1", cold_until_ms=fleet.now_ms + 1e9)
     sent = []
     for _ in range(round(seconds * 1000 / STEP_MS)):
@@ -60,11 +61,11 @@
 
 
 ALL_START = [
-    # instances of the region, other regions, seconds between the first start and the last
-    ("a region alone", 26, 0, 0.3),
+    # instances in the region, other regions, seconds between the first start and the last
+    ("single region", 26, 0, 0.3),
     ("few in each region", 3, 2, 0.3),
     ("as fast as each processor allows", 26, 2, 1.0),
-    ("slowly", 26, 2, 2.5),
+    ("slow start", 26, 2, 2.5),
     ("one in each region", 1, 2, 0.3),
 ]
 
@@ -72,14 +73,12 @@
 @pytest.mark.parametrize(
     ("instances", "others", "over_s"), [row[1:] for row in ALL_START], ids=[r[0] for r in ALL_START]
 )
-def test_instances_that_start_together_keep_to_a_cold_servers_rate(
-    fleet, instances, others, over_s
-):
+def test_instances_that_start_together_respect_cold_rate(fleet, instances, others, over_s):
     for region in range(1, others + 2):
         start(fleet, region, range(1, instances + 1), over_s)
     sent = run(fleet, seconds=6)
     assert most_in_a_second(sent) <= BEARS_IN_A_SECOND
-    # It is used all the same, once the instances know each other.
+    # Guards against a rate that stays unused once the instances know each other.
     assert len(sent) >= RATE_PER_S * 2
 
 
@@ -102,17 +101,17 @@
 
 
 CHANGES = [
-    ("nothing", lambda _fleet: None),
+    ("no change", lambda _fleet: None),
     ("four restart", restart(4)),
     ("most restart", restart(20)),
     ("all restart", restart(26)),
     ("others join", join),
-    ("half are lost", lose_every_other),
+    ("half fail", lose_every_other),
 ]
 
 
 @pytest.mark.parametrize("change", [row[1] for row in CHANGES], ids=[row[0] for row in CHANGES])
-def test_a_change_of_those_who_share_keeps_to_a_cold_servers_rate(fleet, change):
+def test_cold_rate_holds_when_instances_change(fleet, change):
     start(fleet, 1, range(1, 27), over_s=0.3)
     sent = run(fleet, seconds=4)
     change(fleet)
@@ -132,7 +131,7 @@
     fleet.lossy = fleet.chance.choice([0.0, 0.0, 0.1, 0.3])
 
 
-def cut_some_off(fleet: FakeFleet) -> None:
+def partition_some(fleet: FakeFleet) -> None:
     alive = sorted(fleet.instances)
     fleet.far_side = frozenset(fleet.chance.sample(alive, fleet.chance.randint(0, len(alive) // 2)))
 
@@ -142,18 +141,18 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_the_rate_is_kept_to_whatever_happens(fleet, seed):
+def test_cold_rate_holds_under_random_faults(fleet, seed):
     fleet.chance.seed(seed)
     start(fleet, 1, range(1, 21), over_s=1.0)
     sent = run(fleet, seconds=4)
     for _ in range(12):
-        change = fleet.chance.choice([restart_some, lose_datagrams, cut_some_off, join_one])
+        change = fleet.chance.choice([restart_some, lose_datagrams, partition_some, join_one])
         change(fleet)
         sent += run(fleet, seconds=fleet.chance.uniform(0.2, 2.0))
     assert most_in_a_second(sent) <= BEARS_IN_A_SECOND
 
 
-def test_the_rate_is_kept_to_where_datagrams_are_lost(fleet):
+def test_cold_rate_holds_under_datagram_loss(fleet):
     fleet.lossy = 0.3
     start(fleet, 1, range(1, 27), over_s=0.3)
     sent = run(fleet, seconds=6)
@@ -161,9 +160,9 @@
     assert len(sent) >= RATE_PER_S
 
 
-def test_the_first_word_from_another_region_does_not_make_one_share_alone(fleet):
-    # Nobody finds anybody until the seeds start, long after all others; those of other regions
-    # answer first and know no sibling yet.
+def test_gossip_from_another_region_does_not_grant_whole_rate(fleet):
+    # No instance finds another until the seeds start, long after all others; seeds of other regions
+    # answer first and do not know any instance of this region yet.
     for region in (1, 2, 3):
         start(fleet, region, range(2, 14), over_s=0.3)
     assert run(fleet, seconds=4) == []
@@ -175,7 +174,7 @@
     assert len(sent) >= RATE_PER_S
 
 
-def test_who_has_heard_of_nobody_shares_alone_in_the_end(fleet):
+def test_isolated_instance_uses_whole_rate_after_a_wait(fleet):
     start(fleet, 1, [2], over_s=0.0)
     assert run(fleet, seconds=19) == []
     assert len(run(fleet, seconds=4)) >= RATE_PER_S * 2
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -1,4 +1,4 @@
-"""What is learned from requests: times of engines, pauses beside readings, usual credit."""
+"""Values learned from requests: engine times, gaps during prefill, usual credit."""
 
 import json
 import math
@@ -37,14 +37,14 @@
 
 
 FITS = [
-    # what is measured, by its features; the weights that are found
-    ("a straight line", lambda x: 10 + 3 * x, (10.0, 3.0)),
-    ("nothing but a base", lambda _x: 25, (25.0, 0.0)),
+    # measured value as a function of the feature, and the fitted weights
+    ("straight line", lambda x: 10 + 3 * x, (10.0, 3.0)),
+    ("constant", lambda _x: 25, (25.0, 0.0)),
 ]
 
 
 @pytest.mark.parametrize(("name", "measured", "weights"), FITS, ids=[row[0] for row in FITS])
-def test_a_fit_finds_what_explains_the_measurements(name, measured, weights):
+def test_fit_recovers_weights_of_linear_model(name, measured, weights):
     fit = Fit((1.0, 1.0), (1.0, 1.0), 0.995)
     for number in range(400):
         x = number % 7
@@ -52,7 +52,7 @@
     assert fit.weights == pytest.approx(weights, abs=0.5)
 
 
-def test_a_fit_without_measurements_is_its_guess():
+def test_fit_without_measurements_returns_prior():
     assert Fit((5.0, 2.0), (1.0, 1.0), 0.9).weights == (5.0, 2.0)
 
 
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("tokens_per_ms", PACES)
-def test_a_pace_is_learned_from_thirty_requests(clock, tokens_per_ms):
+def test_pace_is_learned_from_thirty_requests(clock, tokens_per_ms):
     pace = PaceTable()
     show_reading(pace, N1.id, tokens_per_ms, 30)
     found = pace.engine(ENGINES, N1.id)
@@ -76,12 +76,13 @@
     assert likely_ms == pytest.approx(30 + 8_000 / tokens_per_ms, rel=0.2)
 
 
-def test_a_slower_engine_is_told_from_its_service_and_is_forgiven(clock):
+def test_slow_engine_is_detected_and_its_factor_decays(clock):
     pace = PaceTable()
     show_reading(pace, N1.id, 50.0, 60)
     usual = pace.engine(ENGINES, N2.id).token_ms
     for _ in range(15):
-        # Readings that came first hide the service's pace, not the engine's own.
+        # Measurements behind queued prefills change the engine's factor, not the service's
+        # estimate.
         pace.note_first_event(ENGINES, N2.id, FirstEvent(20_000, 2_000, 0), 1_500.0)
     slow = pace.engine(ENGINES, N2.id).token_ms
     assert slow > 2 * usual
@@ -90,7 +91,7 @@
     assert pace.engine(ENGINES, N2.id).token_ms == pytest.approx(usual, rel=0.05)
 
 
-def test_an_engine_is_known_as_slow_from_what_siblings_readings_showed(clock):
+def test_slow_engine_is_learned_from_reports_of_peers(clock):
     mine, siblings = PaceTable(), PaceTable()
     for table in (mine, siblings):
         show_reading(table, N1.id, 50.0, 60)
@@ -103,25 +104,25 @@
     assert mine.engine(ENGINES, N1.id).token_ms == pytest.approx(usual, rel=0.05)
 
 
-def test_a_word_beyond_all_bounds_moves_a_pace_no_further_than_one_reading_may(clock):
+def test_out_of_range_report_counts_as_one_bounded_measurement(clock):
     told, told_more = PaceTable(), PaceTable()
     told.note_shown(N1.id, math.log(6.0))
     told_more.note_shown(N1.id, 50.0)
     assert told_more.engine(ENGINES, N1.id) == told.engine(ENGINES, N1.id)
 
 
-def test_how_much_deep_readings_take_is_learned(clock):
+def test_prefill_time_behind_a_prefix_is_learned(clock):
     pace = PaceTable()
     chance = random.Random(4)
     for _ in range(80):
         unread, kept = chance.choice(((2_000, 0), (2_000, 12_000), (12_000, 0), (6_000, 9_000)))
-        # 50 tokens a millisecond, and no more behind others.
+        # 50 tokens a millisecond, also behind a prefix.
         pace.note_first_event(ENGINES, N1.id, FirstEvent(0, unread, kept), 20 + unread / 50)
     assert pace.service(ENGINES).effort_tokens(10_000, 20_000) < 11_500
     assert PaceTable().service(ENGINES).effort_tokens(10_000, 20_000) > 16_000
 
 
-def test_the_longest_usual_time_of_an_answers_token_is_learned():
+def test_maximum_output_token_time_is_learned():
     pace = PaceTable()
     assert pace.output_token_most_ms(ENGINES) == 15.0
     chance = random.Random(5)
@@ -133,23 +134,24 @@
     assert pace.output_token_most_ms(ENGINES) <= 50
 
 
-# Pauses during which an engine read all along (ms); a reading (ms); the share it makes late.
+# Gaps during which an engine prefilled all the time (ms); a prefill (ms); bounds of the share of
+# streams that it makes late.
 PAUSES = [
-    ("nothing seen yet, a long reading", [], 1_000.0, 0.9, 1.0),
-    ("nothing seen yet, a short reading", [], 150.0, 0.0, 0.05),
-    ("no reading", [], 0.0, 0.0, 0.0),
-    ("readings that hurt nobody", [250.0], 1_000.0, 0.0, 0.05),
-    ("readings that just hurt nobody", [370.0], 1_000.0, 0.03, 0.5),
-    ("readings that hurt, and short last events", [90.0, 600.0, 600.0] * 40, 1_000.0, 0.9, 1.0),
-    ("readings that hurt all", [600.0], 1_000.0, 0.9, 1.0),
-    ("a fault that held one stream up", [250.0] * 30 + [9_000.0], 1_000.0, 0.0, 0.4),
+    ("no observations, long prefill", [], 1_000.0, 0.9, 1.0),
+    ("no observations, short prefill", [], 150.0, 0.0, 0.05),
+    ("no prefill", [], 0.0, 0.0, 0.0),
+    ("harmless prefills", [250.0], 1_000.0, 0.0, 0.05),
+    ("just harmless prefills", [370.0], 1_000.0, 0.03, 0.5),
+    ("harmful prefills and short last events", [90.0, 600.0, 600.0] * 40, 1_000.0, 0.9, 1.0),
+    ("prefills that delay all", [600.0], 1_000.0, 0.9, 1.0),
+    ("one stream blocked by a fault", [250.0] * 30 + [9_000.0], 1_000.0, 0.0, 0.4),
 ]
 
 
 @pytest.mark.parametrize(
     ("name", "covered", "reading_ms", "least", "most"), PAUSES, ids=[row[0] for row in PAUSES]
 )
-def test_the_share_of_late_pauses_is_as_seen(name, covered, reading_ms, least, most):
+def test_late_share_follows_observed_gaps(name, covered, reading_ms, least, most):
     pauses = PauseTable()
     for _ in range(100):
         pauses.note_quiet(ENGINES, PAUSE_MS, 20.0, 50.0)
@@ -158,7 +160,7 @@
     assert least <= pauses.late_share(ENGINES, PAUSE_MS, reading_ms) <= most
 
 
-def test_a_longer_reading_never_counts_for_less():
+def test_late_share_does_not_fall_with_prefill_length():
     pauses = PauseTable()
     pauses.note_covered(ENGINES, PAUSE_MS, 390.0)
     shares = [pauses.late_share(ENGINES, PAUSE_MS, 50.0 * step) for step in range(30)]
@@ -166,19 +168,19 @@
 
 
 OUTCOMES = [
-    # length of readings (ms) and how many of 100 were late; what is then expected at 350 ms
-    ("nothing", [], 0.3, 0.7),
-    ("harmful ones", [(350.0, 90)], 0.8, 0.95),
-    ("harmless ones", [(350.0, 0)], 0.0, 0.05),
-    ("shorter ones that are harmful", [(150.0, 90)], 0.5, 0.95),
-    ("longer ones that are harmless", [(900.0, 0)], 0.0, 0.15),
+    # prefill times (ms) and how many of 100 were late; bounds of the share then expected at 350 ms
+    ("no outcomes", [], 0.3, 0.7),
+    ("harmful prefills", [(350.0, 90)], 0.8, 0.95),
+    ("harmless prefills", [(350.0, 0)], 0.0, 0.05),
+    ("harmful shorter prefills", [(150.0, 90)], 0.5, 0.95),
+    ("harmless longer prefills", [(900.0, 0)], 0.0, 0.15),
 ]
 
 
 @pytest.mark.parametrize(
     ("name", "seen", "least", "most"), OUTCOMES, ids=[row[0] for row in OUTCOMES]
 )
-def test_outcomes_outweigh_what_lengths_let_expect(name, seen, least, most):
+def test_outcomes_outweigh_prediction_from_gap_lengths(name, seen, least, most):
     pauses = PauseTable()
     for reading_ms, late in seen:
         for number in range(100):
@@ -187,7 +189,7 @@
     assert least <= pauses.late_share(ENGINES, PAUSE_MS, 350.0) <= most
 
 
-def test_long_quiet_pauses_are_no_harm_of_a_reading():
+def test_long_gaps_without_prefill_are_not_blamed_on_prefill():
     pauses = PauseTable()
     for _ in range(100):
         pauses.note_quiet(ENGINES, PAUSE_MS, 20.0, 390.0)
@@ -195,7 +197,7 @@
     assert pauses.late_share(ENGINES, PAUSE_MS, 400.0) < 0.2
 
 
-def test_the_usual_credit_follows_what_is_placed():
+def test_usual_credit_follows_placed_requests():
     credit = CreditTable()
     long, short = Prompt(12_000, 400, ()), Prompt(800, 50, ())
     assert credit.usual(ENGINES, long) == 16_000
@@ -223,7 +225,7 @@
 
 
 class Watched:
-    """Hold a stream at n1, and the tables that it teaches."""
+    """A watched stream at n1, and the tables that it updates."""
 
     def __init__(self, thawed_at_ms=lambda: 0.0, **changes) -> None:
         self.loads = LoadTable(NORTH, lambda _one: None, lambda _one, _load, _shown: None)
@@ -240,13 +242,13 @@
         self.pauses.note_outcome = lambda _s, _w, _r, late: self.noted.append(("late", late))
 
 
-# Events of a stream at these times (ms); another prompt of so many tokens is given to the
-# engine at that time (ms), behind so many; what is noted. By the first guess 1,000 take 20 ms.
+# Times of a stream's events (ms); when another prompt is sent to the engine (ms), its tokens, and
+# the tokens queued before it; the recorded calls. By the initial estimate 1,000 tokens take 20 ms.
 EPISODES = [
-    ("no reading", (100, 200, 300), None, 0, 0, []),
-    ("a short one", (100, 200, 300, 400), 150, 500, 0, [("quiet", 100), ("late", False)]),
+    ("no prefill", (100, 200, 300), None, 0, 0, []),
+    ("short prefill", (100, 200, 300, 400), 150, 500, 0, [("quiet", 100), ("late", False)]),
     (
-        "a long one",
+        "long prefill",
         (100, 200, 400, 500),
         150,
         30_000,
@@ -254,7 +256,7 @@
         [("quiet", 100), ("covered", 200), ("late", False)],
     ),
     (
-        "one that surely ends before a late event",
+        "prefill that certainly ends before a late event",
         (100, 200, 900),
         150,
         30_000,
@@ -262,19 +264,19 @@
         [("quiet", 100), ("late", True)],
     ),
     (
-        "behind one that may be read half",
+        "queued behind a prefill of unknown progress",
         (100, 200, 400),
         150,
         30_000,
         20_000,
         [("covered", 200), ("late", False)],
     ),
-    ("in the last pause", (100, 200), 150, 30_000, 0, [("quiet", 100)]),
+    ("in the last gap", (100, 200), 150, 30_000, 0, [("quiet", 100)]),
 ]
 
 
 @pytest.mark.parametrize("row", EPISODES, ids=[row[0] for row in EPISODES])
-def test_a_stream_tells_of_its_pauses_beside_a_reading(clock, monkeypatch, row):
+def test_stream_records_its_gaps_during_prefill(clock, monkeypatch, row):
     _, events, reading_at, tokens, before, noted = row
     monkeypatch.setattr(PaceTable, "note_first_event", lambda *_: None)
     stream = Watched()
@@ -292,14 +294,14 @@
 
 
 UNTOLD = [
-    ("by way of a peer", {"peer": object()}),
-    ("that waits for a place", {"waits": True}),
-    ("whose start is fetched", {"source": N2}),
+    ("through a peer", {"peer": object()}),
+    ("waiting for a slot", {"waits": True}),
+    ("with a fetched prefix", {"source": N2}),
 ]
 
 
 @pytest.mark.parametrize(("name", "changes"), UNTOLD, ids=[row[0] for row in UNTOLD])
-def test_a_first_event_teaches_nothing_of_a_request(clock, name, changes):
+def test_first_event_is_not_used_for_pace(clock, name, changes):
     stream = Watched(**changes)
     clock[0] += 3_000
     stream.watch.note_event()
@@ -307,7 +309,7 @@
     assert stream.loads.own(N1.id).unread_tokens == 0
 
 
-# Each row: when events came, and when a pause of this process ended (ms).
+# Times of events, and when this process resumed after a suspension (ms).
 OWN_PAUSES = [
     ("before the first event", (3_000,), 2_900),
     ("between events", (100, 3_100, 3_200), 3_000),
@@ -318,7 +320,7 @@
 @pytest.mark.parametrize(
     ("events", "thawed"), [row[1:] for row in OWN_PAUSES], ids=[row[0] for row in OWN_PAUSES]
 )
-def test_a_pause_of_this_process_teaches_nothing_of_an_engine(clock, monkeypatch, events, thawed):
+def test_suspension_of_this_process_is_not_blamed_on_engine(clock, monkeypatch, events, thawed):
     learned = []
     for name in ("note_first_event", "note_answer", "note_output"):
         monkeypatch.setattr(PaceTable, name, lambda *_, name=name: learned.append((clock[0], name)))
@@ -333,7 +335,7 @@
     assert [one for one in stream.noted if one[1] not in (100, False)] == []
 
 
-def test_what_was_learned_can_be_logged():
+def test_learned_values_can_be_logged():
     pace, pauses = PaceTable(), PauseTable()
     pace.note_first_event(ENGINES, N1.id, FirstEvent(0, 2_000, 0), 60.0)
     pauses.note_covered(ENGINES, PAUSE_MS, 120.0)
--- a/sparline/placement/tests/test_server_limits.py
+++ b/sparline/placement/tests/test_server_limits.py
@@ -190,7 +190,7 @@
     [(row[0], row[2]) for row in REGION_CASES],
     ids=[f"{row[0]}: {row[1]}" for row in REGION_CASES],
 )
-def test_all_instances_of_a_region_together_keep_to_a_limit(fleet, instances, change):
+def test_instances_of_a_region_together_respect_limit(fleet, instances, change):
     start(fleet, instances)
     server = LimitedServer()
     server.run(fleet, seconds=4)
--- a/sparline/placement/tests/test_shortlist.py
+++ b/sparline/placement/tests/test_shortlist.py
@@ -1,4 +1,4 @@
-"""Which servers of a large service are looked at: enough, the same for one start, and all of a small one."""
+"""Shortlists of large services: size, agreement on one prefix, and full lists of small services."""
 
 import random
 
@@ -27,13 +27,13 @@
 
 
 @pytest.mark.parametrize("count", [0, 1, 9, MOST_WHOLE])
-def test_a_small_service_is_looked_at_whole(count):
+def test_small_service_is_considered_completely(count):
     some = servers(count)
     assert list(shortlist().of(asks("/a"), some)) == some
 
 
 @pytest.mark.parametrize(("count", "regions"), [(65, 3), (300, 1), (1_300, 23), (3_000, 3)])
-def test_of_a_large_one_a_choice_looks_at_as_many_as_of_a_small_one(count, regions):
+def test_number_of_candidates_of_large_service_is_bounded(count, regions):
     found = shortlist().of(asks("/a"), servers(count, regions))
     assert len(found) <= MOST_NEAR + MOST_FAR
     assert len({one.id for one in found}) == len(found)
@@ -41,7 +41,7 @@
     assert len(near) >= min(MOST_NEAR // 2, -(-count // regions))
 
 
-def test_those_that_share_a_start_look_at_the_same_ones_of_their_region():
+def test_requests_with_same_prefix_get_same_candidates_in_own_region():
     some = servers(900)
     one, other = (
         {server.id for server in shortlist(seed).of(asks("/a"), some) if server.region == NORTH}
@@ -50,14 +50,14 @@
     assert one == other
 
 
-def test_all_servers_are_looked_at_in_time():
+def test_every_server_is_considered_eventually():
     some = servers(900)
     list_ = shortlist()
     seen = {one.id for number in range(2_000) for one in list_.of(asks(None), some)}
     assert seen == {one.id for one in some}
 
 
-def test_what_has_changed_is_dealt_anew():
+def test_slices_are_rebuilt_when_servers_change():
     some = servers(90, 1)
     list_ = shortlist()
     list_.of(asks("/a"), some)
--- a/sparline/placement/tests/test_witnesses.py
+++ b/sparline/placement/tests/test_witnesses.py
@@ -1,3 +1,5 @@
+"""Server health, cold shares and load of servers as observed by one instance."""
+
 import pytest
 
 from sparline._ids import BackendServerId, RegionName
@@ -39,34 +41,34 @@
 
 
 SHOWN = [
-    # what requests showed, milliseconds later, usable
-    ("nothing", lambda health: None, 0, True),
+    # events at the server, delay before the check (ms), usable
+    ("no requests", lambda health: None, 0, True),
     ("some failures", fail(3), 0, True),
-    ("nothing but failures", fail(10), 0, False),
-    ("nothing but failures, later", fail(10), 5_000, True),
-    ("all streams of an engine that ends, a little later", fail(50), 600, True),
-    ("not reached", lambda health: health.note_unreachable(S1), 0, False),
-    ("not reached, later", lambda health: health.note_unreachable(S1), 600, True),
+    ("only failures", fail(10), 0, False),
+    ("only failures, later", fail(10), 5_000, True),
+    ("all streams of a crashed engine, slightly later", fail(50), 600, True),
+    ("unreachable", lambda health: health.note_unreachable(S1), 0, False),
+    ("unreachable, later", lambda health: health.note_unreachable(S1), 600, True),
     ("full", lambda health: health.note_full(S1), 100, False),
     ("full, later", lambda health: health.note_full(S1), 200, True),
-    ("another's address", lambda health: health.note_misdirected(S1), 4_000, False),
-    ("silent with work under way", silent_with_work, 1_300, False),
-    ("silent for a moment", silent_with_work, 1_000, True),
-    ("silent without work", silent_after_all_ended, 9_000, True),
+    ("address of another server", lambda health: health.note_misdirected(S1), 4_000, False),
+    ("silent with pending request", silent_with_work, 1_300, False),
+    ("briefly silent with pending request", silent_with_work, 1_000, True),
+    ("silent without pending request", silent_after_all_ended, 9_000, True),
 ]
 
 
 @pytest.mark.parametrize(
     ("show", "later_ms", "usable"), [row[1:] for row in SHOWN], ids=[row[0] for row in SHOWN]
 )
-def test_what_speaks_against_a_server(clock, show, later_ms, usable):
+def test_usability_after_observations(clock, show, later_ms, usable):
     health = HealthTable()
     show(health)
     clock.now += later_ms
     assert health.usable(S1) is usable
 
 
-def test_a_server_that_speaks_again_is_not_dark(clock):
+def test_server_that_sends_again_is_not_unresponsive(clock):
     health = HealthTable()
     health.note_sent(S1)
     clock.now += 1_300
@@ -82,24 +84,24 @@
     health.note_unreachable(S1)
 
 
-def hear(health: HealthTable) -> None:
+def receive_event(health: HealthTable) -> None:
     health.note_event(S1)
 
 
 TRIALS = [
-    # after it was passed over: what happens, milliseconds later, usable
-    ("nothing yet", [], 0, True),
-    ("one request tries it", [place], 0, False),
-    ("one request tries it and hears of it", [place, hear], 0, True),
-    ("one request tries it in vain: twice as long", [place, fail_to_reach], 900, False),
-    ("one request tries it in vain, later", [place, fail_to_reach], 1_100, True),
+    # events after the server was skipped, delay before the check (ms), usable
+    ("no request yet", [], 0, True),
+    ("one probe pending", [place], 0, False),
+    ("one probe answered", [place, receive_event], 0, True),
+    ("one probe failed: skipped twice as long", [place, fail_to_reach], 900, False),
+    ("one probe failed, later", [place, fail_to_reach], 1_100, True),
 ]
 
 
 @pytest.mark.parametrize(
     ("steps", "later_ms", "usable"), [row[1:] for row in TRIALS], ids=[row[0] for row in TRIALS]
 )
-def test_a_server_that_was_passed_over_is_tried_by_one_request(clock, steps, later_ms, usable):
+def test_skipped_server_is_probed_by_one_request(clock, steps, later_ms, usable):
     health = HealthTable()
     health.note_unreachable(S1)
     clock.now += _health.PASS_OVER_FIRST_MS
@@ -109,7 +111,7 @@
     assert health.usable(S1) is usable
 
 
-def test_a_server_without_room_is_not_told_as_failing(clock):
+def test_full_server_is_not_doubted(clock):
     health = HealthTable()
     health.note_full(S1)
     assert (health.usable(S1), health.is_doubted(S1)) == (False, False)
@@ -117,7 +119,7 @@
     assert health.is_doubted(S1)
 
 
-def test_a_learned_pace_fades(clock):
+def test_pace_decays(clock):
     health = HealthTable()
     for _ in range(30):
         health.note_pace(S1, 500.0, 100.0)
@@ -130,7 +132,7 @@
 
 
 @pytest.mark.parametrize(("instances", "sharing"), SHARES)
-def test_a_cold_server_gets_no_more_than_its_rate(clock, instances, sharing):
+def test_cold_server_gets_at_most_its_rate(clock, instances, sharing):
     ips = [f"10.0.0.{number}" for number in range(instances)]
     server = make_server("s1", cold_until_ms=clock.now + 60_000)
     shares = [ColdShares(ip, lambda: ips) for ip in ips]
@@ -145,7 +147,7 @@
     assert sent >= 70
 
 
-def test_a_warm_server_has_no_bound(clock):
+def test_warm_server_is_not_limited(clock):
     server = make_server("s1", cold_until_ms=clock.now - 1)
     shares = ColdShares("a", lambda: ["a", "b"])
     for _ in range(100):
@@ -153,7 +155,7 @@
         shares.note_sent(server, 10.0)
 
 
-def test_a_request_counts_until_it_ends():
+def test_request_counts_until_released():
     changes: list[LoadOf] = []
     loads = LoadTable(
         RegionName("north"), lambda _one: None, lambda _one, load, _shown: changes.append(load)
@@ -170,15 +172,15 @@
 
 
 TOLD = [
-    ("more than its own", LoadOf(3, 300, 5), LoadOf(3, 300, 40)),
-    ("less than its own, not yet told", LoadOf(), LoadOf(1, 100, 40)),
-    ("nothing", None, LoadOf(1, 100, 40)),
+    ("more than own load", LoadOf(3, 300, 5), LoadOf(3, 300, 40)),
+    ("less than own load, not reported yet", LoadOf(), LoadOf(1, 100, 40)),
+    ("no report", None, LoadOf(1, 100, 40)),
 ]
 
 
 @pytest.mark.parametrize(("told", "load"), [row[1:] for row in TOLD], ids=[row[0] for row in TOLD])
 @pytest.mark.parametrize("region", ["north", "south"])
-def test_a_server_has_what_is_told_of_it_and_its_own_at_least(told, load, region):
+def test_load_is_maximum_of_reported_and_own(told, load, region):
     loads = LoadTable(RegionName("north"), lambda _one: told, lambda _one, _load, _shown: None)
     server = make_server("s1", region)
     loads.reserve(server, 100, 40)
