--- a/sparline/decisions/_admission.py
+++ b/sparline/decisions/_admission.py
@@ -11,17 +11,17 @@
 # A request whose estimated time exceeds the target by more than this factor is rejected: it would
 # be worth next to nothing and delay all those behind it. The factor is above one because estimates
 # are rough and a late answer is still worth something.
-REFUSE_ABOVE = 1.25
+MAX_LATENESS_RATIO = 1.25
 # The same for a relayed request: the network round trip takes the rest, and the instance that
 # relayed it may know a better server.
-REFUSE_RELAYED_ABOVE = 1.0
+MAX_RELAYED_LATENESS_RATIO = 1.0
 # A request is rejected if its loss exceeds this multiple of its own credit: it is late itself, or
 # makes others late.
-REFUSE_LOSS = 1.5
+MAX_LOSS = 1.5
 # A prompt is long if its own prefill takes more than this fraction of the target time: no engine
 # could answer it as quickly as a usual one, and the longest tenth of the prompts is to be served
 # like the others.
-LONG_READING = 0.55
+LONG_PREFILL_RATIO = 0.55
 
 
 class RefusedFor(Enum):
@@ -54,14 +54,14 @@
         return None
     expected_ms = facts.expected_ms
     loss = facts.loss
-    if facts.reading_ms > LONG_READING * facts.wanted_ms:
+    if facts.reading_ms > LONG_PREFILL_RATIO * facts.wanted_ms:
         # A long prompt is judged by its wait before prefill only, not by its length.
         expected_ms -= facts.reading_ms
         loss -= (facts.reading_ms / facts.wanted_ms) ** 2
-    targets = REFUSE_RELAYED_ABOVE if facts.is_relayed else REFUSE_ABOVE
-    if expected_ms > targets * facts.wanted_ms:
+    max_ratio = MAX_RELAYED_LATENESS_RATIO if facts.is_relayed else MAX_LATENESS_RATIO
+    if expected_ms > max_ratio * facts.wanted_ms:
         return RefusedFor.LATE
-    if loss > REFUSE_LOSS:
+    if loss > MAX_LOSS:
         return RefusedFor.COSTLY
     if facts.expected_ms > facts.left_ms:
         return RefusedFor.OVER_DEADLINE
--- a/sparline/decisions/_region_refusals.py
+++ b/sparline/decisions/_region_refusals.py
@@ -11,9 +11,9 @@
 
 # Time for which a region that had no room for a short request is taken to have none for others
 # (ms): a few batches of its engines, and less than its load reports take to arrive.
-NO_ROOM_MS = 150.0
+REFUSAL_TTL_MS = 150.0
 # Prompts up to this length are short (tokens): a batch prefills one in a few ms.
-SHORT_TOKENS = 1_000
+MAX_SHORT_TOKENS = 1_000
 
 
 class RegionRefusals:
@@ -26,15 +26,15 @@
     def __init__(self) -> None:
         """Start with no rejections."""
         # End of the time for which a region counts as full (ms), by the priority that it rejected.
-        self._until_ms: dict[tuple[RegionName, ServiceName], dict[int, float]] = {}
+        self._full_until_ms: dict[tuple[RegionName, ServiceName], dict[int, float]] = {}
 
     def note(
         self, region: RegionName, service: ServiceName, priority: int, tokens: int, now: float
     ) -> None:
         """Record that no server of a region accepted a request for a service."""
-        if tokens <= SHORT_TOKENS:
-            refused = self._until_ms.setdefault((region, service), {})
-            refused[priority] = now + NO_ROOM_MS
+        if tokens <= MAX_SHORT_TOKENS:
+            refused = self._full_until_ms.setdefault((region, service), {})
+            refused[priority] = now + REFUSAL_TTL_MS
 
     def is_full(
         self, region: RegionName, service: ServiceName, priority: int, tokens: int, now: float
@@ -43,7 +43,10 @@
 
         A long request is never held back.
         """
-        if tokens > SHORT_TOKENS:
+        if tokens > MAX_SHORT_TOKENS:
             return False
-        refused = self._until_ms.get((region, service), {})
-        return any(now < until_ms and priority >= than for than, until_ms in refused.items())
+        refused = self._full_until_ms.get((region, service), {})
+        return any(
+            now < until_ms and priority >= refused_priority
+            for refused_priority, until_ms in refused.items()
+        )
--- a/sparline/decisions/_return_time.py
+++ b/sparline/decisions/_return_time.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass
 
 # Bounds of the Retry-After of a rejected request, which is how late it would have been (ms).
-RETRY_AFTER_LEAST_MS = 150.0
-RETRY_AFTER_MOST_MS = 1_500.0
+MIN_RETRY_AFTER_MS = 150.0
+MAX_RETRY_AFTER_MS = 1_500.0
 # Where no server can run a request, the Retry-After is this fraction of the time that the caller
 # has left, the longest that callers heed, within these bounds (ms): such a state lasts for seconds,
 # and a caller that retries during it has used up its last attempt.
-WAIT_SHARE = 1 / 3
-WAIT_LEAST_MS = 500.0
-WAIT_MOST_MS = 5_000.0
+UNSERVED_WAIT_SHARE = 1 / 3
+MIN_UNSERVED_WAIT_MS = 500.0
+MAX_UNSERVED_WAIT_MS = 5_000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 def return_after_ms(facts: ReturnFacts) -> float:
     """Return the Retry-After of a request that is rejected because of load."""
     late_ms = facts.expected_ms - facts.wanted_ms
-    return min(max(late_ms, RETRY_AFTER_LEAST_MS), RETRY_AFTER_MOST_MS)
+    return min(max(late_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
 
 
 def unserved_wait_ms(left_ms: float, backoff_left_ms: float | None = None) -> float:
@@ -38,7 +38,7 @@
     `backoff_left_ms` is the time until the backoff of a suitable server ends, None if none backs
     off. It shortens the wait but never below the minimum Retry-After.
     """
-    wait_ms = min(max(WAIT_SHARE * left_ms, WAIT_LEAST_MS), WAIT_MOST_MS)
+    wait_ms = min(max(UNSERVED_WAIT_SHARE * left_ms, MIN_UNSERVED_WAIT_MS), MAX_UNSERVED_WAIT_MS)
     if backoff_left_ms is None:
         return wait_ms
-    return min(wait_ms, max(backoff_left_ms, RETRY_AFTER_LEAST_MS))
+    return min(wait_ms, max(backoff_left_ms, MIN_RETRY_AFTER_MS))
--- a/sparline/decisions/tests/test_decisions.py
+++ b/sparline/decisions/tests/test_decisions.py
@@ -12,7 +12,7 @@
     unserved_wait_ms,
     why_refused,
 )
-from sparline.decisions._region_refusals import NO_ROOM_MS, SHORT_TOKENS
+from sparline.decisions._region_refusals import MAX_SHORT_TOKENS, REFUSAL_TTL_MS
 from sparline.routes import ServiceName
 
 SOUTH, ENGINES = RegionName("south"), ServiceName("engines")
@@ -82,11 +82,11 @@
     ("less urgent", "south", "engines", 2, 300, 0.0, True),
     ("more urgent", "south", "engines", 0, 300, 0.0, False),
     ("shorter", "south", "engines", 1, 0, 0.0, True),
-    ("longer but still short", "south", "engines", 1, SHORT_TOKENS, 0.0, True),
-    ("long", "south", "engines", 1, SHORT_TOKENS + 1, 0.0, False),
+    ("longer but still short", "south", "engines", 1, MAX_SHORT_TOKENS, 0.0, True),
+    ("long", "south", "engines", 1, MAX_SHORT_TOKENS + 1, 0.0, False),
     ("another service", "south", "plain", 1, 300, 0.0, False),
     ("another region", "north", "engines", 1, 300, 0.0, False),
-    ("after expiry", "south", "engines", 1, 300, NO_ROOM_MS, False),
+    ("after expiry", "south", "engines", 1, 300, REFUSAL_TTL_MS, False),
 ]
 
 
@@ -115,5 +115,5 @@
 
 def test_refusal_of_long_request_does_not_affect_short_ones():
     refusals = RegionRefusals()
-    refusals.note(SOUTH, ENGINES, 1, SHORT_TOKENS + 1, REFUSED_AT_MS)
+    refusals.note(SOUTH, ENGINES, 1, MAX_SHORT_TOKENS + 1, REFUSED_AT_MS)
     assert not refusals.is_full(SOUTH, ENGINES, 1, 300, REFUSED_AT_MS)
