--- a/benchmarks/_decide.py
+++ b/benchmarks/_decide.py
@@ -27,7 +27,7 @@
     def _best(self, placements: list[Placement], beside_few: bool) -> Placement:
         near = [one for one in placements if one.peer is None]
         free = [one for one in near if not one.waits] or placements
-        return min(free, key=lambda one: (one.load.running, self._chance.random()))
+        return min(free, key=lambda one: (one.load.running, self._rng.random()))
 
     def _refusal(self, *_: object) -> None:
         return None
--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -204,7 +204,7 @@
             Known.STARTS,
             lambda: PromptCache(owners_have_read=False, sharing=lambda: sends),
         )
-        self._cache._chance = random.Random(f"cache/{world.draw.seed}/{ip}")
+        self._cache._rng = random.Random(f"cache/{world.draw.seed}/{ip}")
         self.port = GossipPort(
             GOSSIP_PORT,
             world.seeds(),
--- a/sparline/placement/_choice.py
+++ b/sparline/placement/_choice.py
@@ -16,8 +16,8 @@
 )
 from sparline.fleet import BackendServer
 from sparline.placement._credit import credit_of
-from sparline.placement._kept_prompt import find_kept
-from sparline.placement._place_judge import CommonFacts, OwnPlace, PlaceJudge, PlacementTables
+from sparline.placement._kept_prompt import find_cached_prefix
+from sparline.placement._place_judge import CommonFacts, LossEstimator, OwnPlace, PlacementTables
 from sparline.placement._placement import Placement, Refusal
 from sparline.placement._shortlist import Shortlist
 from sparline.requests import Origin, Reason, RoutedRequest
@@ -25,20 +25,20 @@
 
 # Servers whose loss differs by less than this count as equal; one is chosen at random, which
 # spreads the load of several instances.
-EQUAL_LOSS = 0.004
+LOSS_TOLERANCE = 0.004
 
 
 class Chooser:
     """Chooses a server for each request."""
 
-    def __init__(self, place: OwnPlace, tables: PlacementTables, chance: random.Random) -> None:
+    def __init__(self, place: OwnPlace, tables: PlacementTables, rng: random.Random) -> None:
         """Choose for the callers of an instance at a given place."""
         self._region = place.region
         self._tables = tables
-        self._chance = chance
-        self._judge = PlaceJudge(place, tables, chance)
+        self._rng = rng
+        self._estimator = LossEstimator(place, tables, rng)
         self._refusals = RegionRefusals()
-        self._shortlist = Shortlist(place.region, chance)
+        self._shortlist = Shortlist(place.region, rng)
 
     def choose(
         self,
@@ -56,23 +56,27 @@
         service = self._tables.fleet.configuration.services.get(request.service)  # type: ignore[union-attr]
         if service is None:
             return Refusal(Reason.NO_BACKEND, unserved_wait_ms(request.left_ms()), 0)
-        every = self._tables.fleet.by_service.get(request.service, [])
-        looked_at = self._shortlist.of(request, every)
+        all_servers = self._tables.fleet.by_service.get(request.service, [])
+        shortlisted = self._shortlist.of(request, all_servers)
         has_begun = has_begun or request.resume_after is not None
-        servers = self._servers(request, service, looked_at, excluded)
+        servers = self._servers(request, service, shortlisted, excluded)
         if not has_begun:
             servers = self._without_full(request, servers)
-        if not servers and len(looked_at) < len(every):
+        if not servers and len(shortlisted) < len(all_servers):
             # No server on the shortlist may be used: consider all of them.
-            servers = self._servers(request, service, every, excluded)
+            servers = self._servers(request, service, all_servers, excluded)
         if not servers:
-            wait_ms = unserved_wait_ms(request.left_ms(), self._shortest_backoff_ms(request, every))
+            wait_ms = unserved_wait_ms(
+                request.left_ms(), self._shortest_backoff_ms(request, all_servers)
+            )
             return Refusal(Reason.NO_BACKEND, wait_ms, 0)
         if request.prompt is not None and request.origin is Origin.CALLER and not excluded:
             self._tables.demand.note(request, request.prompt)
         common = self._common(request, servers)
-        judged = [self._judge.judge(request, service, server, common) for server in servers]
-        placements = [one for one in judged if one is not None]
+        estimated = [
+            self._estimator.estimate(request, service, server, common) for server in servers
+        ]
+        placements = [one for one in estimated if one is not None]
         if not placements:
             return Refusal(Reason.NO_BACKEND, unserved_wait_ms(request.left_ms()), len(servers))
         best = self._best(placements, beside_few)
@@ -84,23 +88,23 @@
     def _common(self, request: RoutedRequest, servers: list[BackendServer]) -> CommonFacts:
         tables = self._tables
         prompt = request.prompt
-        sound = [one for one in servers if tables.health.usable(one.id)]
+        healthy = [one for one in servers if tables.health.usable(one.id)]
         return CommonFacts(
-            sound=frozenset(one.id for one in sound),
-            kept=find_kept(prompt, servers, sound, self._region, tables.cache),
+            healthy=frozenset(one.id for one in healthy),
+            cached_prefix=find_cached_prefix(prompt, servers, healthy, self._region, tables.cache),
             usual_failing=median_low(tables.health.failing(one.id) for one in servers),
             credit=credit_of(prompt) if prompt else 0,
             usual_credit=tables.credit.usual(request.service, prompt) if prompt else 0.0,
-            demand=self._demand(request, sound),
+            demand=self._demand(request, healthy),
             find_peers=tables.peers,
         )
 
-    def _demand(self, request: RoutedRequest, sound: list[BackendServer]) -> float:
+    def _demand(self, request: RoutedRequest, healthy: list[BackendServer]) -> float:
         """Return the value arriving per ms at each engine here, relative to that of the request."""
         if request.prompt is None:
             return 0.0
         tables = self._tables
-        here = [one for one in sound if one.region == self._region] or sound
+        here = [one for one in healthy if one.region == self._region] or healthy
         rate = tables.demand.rate(request.service, request.priority)
         worth = tables.demand.worth(request, request.prompt)
         return rate * tables.sharing() / max(len(here), 1) / worth
@@ -109,13 +113,13 @@
         self,
         request: RoutedRequest,
         service: Service,
-        looked_at: Sequence[BackendServer],
+        shortlisted: Sequence[BackendServer],
         excluded: frozenset[BackendServerId],
     ) -> list[BackendServer]:
         fleet = self._tables.fleet
         found = []
         limited_in_other_regions = []
-        for server in looked_at:
+        for server in shortlisted:
             if server.leaving or server.zone in fleet.evacuated or server.id in excluded:
                 continue
             if self._tables.health.is_elsewhere(server.id):
@@ -139,7 +143,7 @@
     def _shortest_backoff_ms(
         self, request: RoutedRequest, servers: Sequence[BackendServer]
     ) -> float | None:
-        """Return the time until the first backoff of a suitable server ends, None if none backs off."""
+        """Return the time until the first backoff of a suitable server ends, None without one."""
         left = [
             self._tables.health.backoff_left_ms(one.id)
             for one in servers
@@ -169,13 +173,13 @@
         return [one for one in servers if one.region not in full] or servers
 
     def _best(self, placements: list[Placement], beside_few: bool) -> Placement:
-        least_doubt = min(one.doubt.value for one in placements)
-        trusted = [one for one in placements if one.doubt.value == least_doubt]
+        min_doubt = min(one.doubt.value for one in placements)
+        trusted = [one for one in placements if one.doubt.value == min_doubt]
         if beside_few:
             return min(trusted, key=lambda one: (one.load.running, one.loss))
-        least = min(one.loss for one in trusted)
-        near = [one for one in trusted if one.loss <= least + EQUAL_LOSS]
-        return self._chance.choice(near)
+        min_loss = min(one.loss for one in trusted)
+        tied = [one for one in trusted if one.loss <= min_loss + LOSS_TOLERANCE]
+        return self._rng.choice(tied)
 
     def _refusal(self, request: RoutedRequest, best: Placement, candidates: int) -> Refusal | None:
         """Return a refusal for a request that would be too late or cost others too much."""
@@ -204,8 +208,8 @@
         region = placement.server.region
         tokens = _tokens(request)
         self._refusals.note(region, request.service, request.priority, tokens, now_ms())
-        every = self._tables.fleet.by_service.get(request.service, [])
-        return [one.id for one in every if one.region == region]
+        all_servers = self._tables.fleet.by_service.get(request.service, [])
+        return [one.id for one in all_servers if one.region == region]
 
     def note_sent(self, request: RoutedRequest, placement: Placement) -> None:
         """Record that a request is sent according to a placement."""
--- a/sparline/placement/_credit.py
+++ b/sparline/placement/_credit.py
@@ -5,14 +5,14 @@
 
 # An output token counts as this many prompt tokens: it takes a decoding step of its own, while
 # prompt tokens are prefilled by the thousand.
-OUTPUT_WEIGHT = 10
+OUTPUT_TOKEN_CREDIT = 10
 # Weight of one more request in the usual credit: about the last 100 count.
 USUAL_WEIGHT = 0.01
 
 
 def credit_of(prompt: Prompt) -> int:
     """Return the credit of a request, in prompt tokens."""
-    return max(prompt.tokens + OUTPUT_WEIGHT * prompt.most_output_tokens, 1)
+    return max(prompt.tokens + OUTPUT_TOKEN_CREDIT * prompt.most_output_tokens, 1)
 
 
 class CreditTable:
@@ -25,8 +25,8 @@
     def note(self, service: ServiceName, prompt: Prompt) -> None:
         """Record a request that is placed."""
         credit = credit_of(prompt)
-        held = self._usual.get(service, float(credit))
-        self._usual[service] = held + USUAL_WEIGHT * (credit - held)
+        previous = self._usual.get(service, float(credit))
+        self._usual[service] = previous + USUAL_WEIGHT * (credit - previous)
 
     def usual(self, service: ServiceName, prompt: Prompt) -> float:
         """Return the usual credit of a service, that of this request if there was none before."""
--- a/sparline/placement/_demand.py
+++ b/sparline/placement/_demand.py
@@ -9,19 +9,19 @@
 
 # Between classes of requests value grows with the usual size of their requests to this power:
 # customers pay less than twice for what takes twice as long. No instance can observe what they pay.
-SIZE_POWER = 0.6
+SIZE_EXPONENT = 0.6
 # Fraction of a request's value that does not depend on its size relative to its class.
-FIXED_PART = 0.3
+FIXED_SHARE = 0.3
 # Weight of one more request in the usual size of its class: about the last 50 count.
 USUAL_WEIGHT = 0.02
 # Half-life of the arrived value (ms): a burst is seen within a second.
 HALF_LIFE_MS = 1_000.0
 # A sum that decays with a half-life equals the rate times this many half-lives, 1 / ln 2.
-HALF_LIVES_A_SUM = 1.4427
+HALF_LIVES_PER_SUM = 1.4427
 
 
 @dataclass(frozen=True, slots=True)
-class _Kind:
+class _RequestClass:
     """Class of similar requests of one service."""
 
     route_priority: int  # stands for size: routes of one priority get requests of similar size
@@ -33,12 +33,12 @@
     """Arrivals of one class of requests."""
 
     usual_size: float  # size of a usual request
-    worth: float = 0.0  # decaying sum of the arrived value
+    arrived_value: float = 0.0  # decaying sum of the arrived value
     at_ms: float = 0.0  # when it was last updated
 
-    def faded(self) -> float:
+    def decayed(self) -> float:
         """Return the sum, decayed to the current time."""
-        return self.worth * 0.5 ** ((now_ms() - self.at_ms) / HALF_LIFE_MS)
+        return self.arrived_value * 0.5 ** ((now_ms() - self.at_ms) / HALF_LIFE_MS)
 
 
 class DemandTable:
@@ -46,30 +46,34 @@
 
     def __init__(self) -> None:
         """Start without observations."""
-        self._arrivals: dict[ServiceName, dict[_Kind, _Arrivals]] = {}
+        self._arrivals: dict[ServiceName, dict[_RequestClass, _Arrivals]] = {}
 
     def note(self, request: RoutedRequest, prompt: Prompt) -> None:
         """Record a request from a caller."""
         size = credit_of(prompt)
-        by_kind = self._arrivals.setdefault(request.service, {})
-        arrivals = by_kind.setdefault(_kind(request), _Arrivals(size))
+        by_class = self._arrivals.setdefault(request.service, {})
+        arrivals = by_class.setdefault(_class_of(request), _Arrivals(size))
         arrivals.usual_size += USUAL_WEIGHT * (size - arrivals.usual_size)
-        arrivals.worth = arrivals.faded() + self.worth(request, prompt)
+        arrivals.arrived_value = arrivals.decayed() + self.worth(request, prompt)
         arrivals.at_ms = now_ms()
 
     def worth(self, request: RoutedRequest, prompt: Prompt) -> float:
         """Return the estimated value of a request, from its size."""
         size = credit_of(prompt)
-        arrivals = self._arrivals.get(request.service, {}).get(_kind(request))
+        arrivals = self._arrivals.get(request.service, {}).get(_class_of(request))
         usual = arrivals.usual_size if arrivals else float(size)
-        return usual**SIZE_POWER * (FIXED_PART + (1 - FIXED_PART) * size / usual)
+        return usual**SIZE_EXPONENT * (FIXED_SHARE + (1 - FIXED_SHARE) * size / usual)
 
     def rate(self, service: ServiceName, priority: int) -> float:
         """Return the value per millisecond of the arrivals that are at least as urgent."""
-        by_kind = self._arrivals.get(service, {})
-        total = sum(one.faded() for kind, one in by_kind.items() if kind.rank <= priority)
-        return total / (HALF_LIVES_A_SUM * HALF_LIFE_MS)
+        by_class = self._arrivals.get(service, {})
+        total = sum(
+            one.decayed()
+            for request_class, one in by_class.items()
+            if request_class.rank <= priority
+        )
+        return total / (HALF_LIVES_PER_SUM * HALF_LIFE_MS)
 
 
-def _kind(request: RoutedRequest) -> _Kind:
-    return _Kind(request.route.priority, request.priority)
+def _class_of(request: RoutedRequest) -> _RequestClass:
+    return _RequestClass(request.route.priority, request.priority)
--- a/sparline/placement/_fit.py
+++ b/sparline/placement/_fit.py
@@ -6,17 +6,17 @@
 class Fit:
     """Learns the weights of a linear model from measurements."""
 
-    def __init__(self, guess: Sequence[float], trust: Sequence[float], keep: float) -> None:
-        """Start from the prior weights `guess`.
+    def __init__(self, prior: Sequence[float], confidence: Sequence[float], decay: float) -> None:
+        """Start from the prior weights `prior`.
 
-        `trust` is the confidence in each prior weight, as a sum of squared features; `keep` is the
-        factor by which the weight of older measurements shrinks with each new one.
+        `confidence` is the trust in each of them, as a sum of squared features; `decay` is the factor
+        by which the weight of older measurements shrinks with each new one.
         """
-        size = len(guess)
-        self.weights = tuple(guess)  # current estimate, in the order of the features
-        self._guess = tuple(guess)
-        self._trust = tuple(trust)
-        self._keep = keep
+        size = len(prior)
+        self.weights = tuple(prior)  # current estimate, in the order of the features
+        self._prior = tuple(prior)
+        self._confidence = tuple(confidence)
+        self._decay = decay
         self._squares = [[0.0] * size for _ in range(size)]
         self._products = [0.0] * size
 
@@ -24,19 +24,19 @@
         """Update the weights with one measurement."""
         for row, one in zip(self._squares, features, strict=True):
             for column, other in enumerate(features):
-                row[column] = row[column] * self._keep + one * other
+                row[column] = row[column] * self._decay + one * other
         for index, one in enumerate(features):
-            self._products[index] = self._products[index] * self._keep + one * measured
-        self.weights = self._solved()
+            self._products[index] = self._products[index] * self._decay + one * measured
+        self.weights = self._solve()
 
-    def _solved(self) -> tuple[float, ...]:
+    def _solve(self) -> tuple[float, ...]:
         """Solve the normal equations; the prior keeps them from being singular."""
         rows = [
-            [*row, product + self._trust[index] * self._guess[index]]
+            [*row, product + self._confidence[index] * self._prior[index]]
             for index, (row, product) in enumerate(zip(self._squares, self._products, strict=True))
         ]
         for index, row in enumerate(rows):
-            row[index] += self._trust[index]
+            row[index] += self._confidence[index]
         return _eliminate(rows)
 
 
--- a/sparline/placement/_kept_prompt.py
+++ b/sparline/placement/_kept_prompt.py
@@ -4,64 +4,64 @@
 
 from sparline._ids import BackendServerId, RegionName
 from sparline.fleet import BackendServer
-from sparline.placement._prompt_cache import FLEET_WIDE_TOKENS, PromptCache, owner_of
+from sparline.placement._prompt_cache import MIN_FLEET_WIDE_TOKENS, PromptCache, owner_of
 from sparline.requests import Prompt
 
 # Shorter prefixes are prefilled again rather than fetched (tokens): at 50 tokens a millisecond that
 # takes 20 ms, as long as a fetch takes to set up and to wait for its turn.
-FETCH_LEAST_TOKENS = 1_000
+MIN_FETCH_TOKENS = 1_000
 
 
 @dataclass(frozen=True, slots=True)
-class KeptPrompt:
+class CachedPrefix:
     """Locations of the cached shared prefix of one prompt."""
 
     tokens: dict[BackendServerId, int] = field(default_factory=dict)  # cached tokens by engine
-    reader: BackendServerId | None = None  # engine that is to prefill it, None if one has
+    prefill_owner: BackendServerId | None = None  # engine that is to prefill it, None if one has
     sources: dict[RegionName, BackendServer] = field(default_factory=dict)  # largest copy by region
     fleet_wide: bool = False  # whether one engine of the whole fleet is to prefill it
-    most: int = 0  # tokens in the largest copy
+    max_tokens: int = 0  # tokens in the largest copy
 
-    def at(self, server: BackendServer) -> int:
+    def tokens_at(self, server: BackendServer) -> int:
         """Return the tokens that an engine has cached."""
         return self.tokens.get(server.id, 0)
 
     def source_for(self, server: BackendServer) -> BackendServer | None:
         """Return the engine of the same region from which a server should fetch the prefix."""
         source = self.sources.get(server.region)
-        if source is None or self.at(source) - self.at(server) < FETCH_LEAST_TOKENS:
+        if source is None or self.tokens_at(source) - self.tokens_at(server) < MIN_FETCH_TOKENS:
             return None
         return source
 
 
-def find_kept(
+def find_cached_prefix(
     prompt: Prompt | None,
     servers: list[BackendServer],
-    sound: list[BackendServer],
+    healthy: list[BackendServer],
     own_region: RegionName,
     cache: PromptCache,
-) -> KeptPrompt:
+) -> CachedPrefix:
     """Return where a prompt's prefix is cached among the engines that may run the request.
 
-    Only healthy engines (`sound`) are chosen to prefill or transfer it.
+    Only engines in `healthy` are chosen to prefill or transfer it.
     """
     if prompt is None:
-        return KeptPrompt()
-    owner = _owner(prompt, sound or servers, own_region)
+        return CachedPrefix()
+    owner = _owner(prompt, healthy or servers, own_region)
     tokens = {one.id: cache.cached_tokens(prompt, one.id) for one in servers}
     if owner is not None and cache.owner_has_read(prompt):
         tokens[owner] = prompt.shared_tokens
     sources: dict[RegionName, BackendServer] = {}
-    for server in sound:
+    for server in healthy:
         if not prompt.shared_starts or not cache.can_pass_on(prompt, server.id):
             continue
-        held = sources.get(server.region)
-        if held is None or tokens[server.id] > tokens[held.id]:
+        largest = sources.get(server.region)
+        if largest is None or tokens[server.id] > tokens[largest.id]:
             sources[server.region] = server
-    most = max(tokens.values(), default=0)
-    is_read = most >= prompt.shared_tokens
-    fleet_wide = prompt.shared_tokens >= FLEET_WIDE_TOKENS
-    return KeptPrompt(tokens, None if is_read else owner, sources, fleet_wide, most)
+    max_tokens = max(tokens.values(), default=0)
+    is_cached = max_tokens >= prompt.shared_tokens
+    fleet_wide = prompt.shared_tokens >= MIN_FLEET_WIDE_TOKENS
+    return CachedPrefix(tokens, None if is_cached else owner, sources, fleet_wide, max_tokens)
 
 
 def _owner(
@@ -69,5 +69,5 @@
 ) -> BackendServerId | None:
     """Return the engine that is to hold the prompt's prefix."""
     near = [one for one in servers if one.region == own_region]
-    pool = servers if prompt.shared_tokens >= FLEET_WIDE_TOKENS or not near else near
+    pool = servers if prompt.shared_tokens >= MIN_FLEET_WIDE_TOKENS or not near else near
     return owner_of(prompt, [one.id for one in pool])
--- a/sparline/placement/_limit_shares.py
+++ b/sparline/placement/_limit_shares.py
@@ -6,7 +6,7 @@
 
 # Lowest request rate per server, from all instances together. A limit of zero must not stop all
 # requests, because only an answer can show that the limit was raised.
-LEAST_RATE_PER_S = 0.1
+MIN_RATE_PER_S = 0.1
 
 
 class LimitShares:
@@ -24,7 +24,7 @@
     def may_use(self, server_id: BackendServerId) -> bool:
         """Tell whether this instance may send a server one more request now."""
         per_s = self._limits.limit_per_s(server_id)
-        return per_s is None or self._shares.may_send(server_id, max(per_s, LEAST_RATE_PER_S))
+        return per_s is None or self._shares.may_send(server_id, max(per_s, MIN_RATE_PER_S))
 
     def note_sent(self, server_id: BackendServerId) -> None:
         """Record a request to a server of this instance's region."""
@@ -32,4 +32,4 @@
         if per_s is None:
             self._shares.forget(server_id)
         else:
-            self._shares.note_sent(server_id, max(per_s, LEAST_RATE_PER_S))
+            self._shares.note_sent(server_id, max(per_s, MIN_RATE_PER_S))
--- a/sparline/placement/_loads.py
+++ b/sparline/placement/_loads.py
@@ -7,11 +7,11 @@
 from sparline._ids import BackendServerId, RegionName
 from sparline.fleet import BackendServer, LoadOf
 
-ToldLoad = Callable[[BackendServerId], LoadOf | None]
+ReportedLoad = Callable[[BackendServerId], LoadOf | None]
 NoteChange = Callable[[BackendServer, LoadOf, float | None], None]
 
 # A server's load entry is kept this long after its last request (ms), so that its pace is too.
-REMEMBER_MS = 120_000.0
+IDLE_TTL_MS = 120_000.0
 
 
 @dataclass(slots=True)
@@ -26,12 +26,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class Prefill:
     """Prefill work of a backend server when this instance last sent it a prompt."""
 
     at_ms: float  # when it was sent
     tokens: int  # tokens of the prompt
-    before_tokens: int  # tokens that were queued before it
+    queued_tokens: int  # tokens that were queued before it
 
 
 class Reservation:
@@ -82,18 +82,18 @@
 class LoadTable:
     """Holds the load of every backend server that this instance knows of."""
 
-    def __init__(self, region: RegionName, told: ToldLoad, note_change: NoteChange) -> None:
+    def __init__(self, region: RegionName, reported: ReportedLoad, note_change: NoteChange) -> None:
         """Start without load.
 
-        `told` returns the reported load of all instances on a server, including this one;
+        `reported` returns the reported load of all instances on a server, including this one;
         `note_change` gets each change of this instance's part, and what a prefill showed of the
         server.
         """
         self._note_change = note_change
         self._own: dict[BackendServerId, OwnLoad] = {}
         self._region = region
-        self._told = told
-        self._readings: dict[BackendServerId, Reading] = {}
+        self._reported = reported
+        self._prefills: dict[BackendServerId, Prefill] = {}
 
     def reserve(self, server: BackendServer, held_tokens: int, unread_tokens: int) -> Reservation:
         """Count a request on a backend server."""
@@ -107,24 +107,24 @@
             lambda change, shown_log: self._note_change(server, change, shown_log),
         )
         if unread_tokens:
-            before_tokens = self.of(server).unread_tokens - unread_tokens
-            self._readings[server.id] = Reading(now_ms(), unread_tokens, before_tokens)
+            queued_tokens = self.of(server).unread_tokens - unread_tokens
+            self._prefills[server.id] = Prefill(now_ms(), unread_tokens, queued_tokens)
         return reservation
 
-    def last_reading(self, server_id: BackendServerId) -> Reading | None:
+    def last_reading(self, server_id: BackendServerId) -> Prefill | None:
         """Return the latest prefill that this instance sent to a backend server."""
-        return self._readings.get(server_id)
+        return self._prefills.get(server_id)
 
     def of(self, server: BackendServer) -> LoadOf:
         """Return the load of a backend server."""
         own = self.own(server.id)
-        told = self._told(server.id)
-        if told is None:
+        reported = self._reported(server.id)
+        if reported is None:
             return own
         return LoadOf(
-            max(own.running, told.running),
-            max(own.held_tokens, told.held_tokens),
-            max(own.unread_tokens, told.unread_tokens),
+            max(own.running, reported.running),
+            max(own.held_tokens, reported.held_tokens),
+            max(own.unread_tokens, reported.unread_tokens),
         )
 
     def own(self, server_id: BackendServerId) -> LoadOf:
@@ -142,10 +142,10 @@
 
     def forget_old(self) -> None:
         """Forget servers without requests for a long time."""
-        since = now_ms() - REMEMBER_MS
+        since = now_ms() - IDLE_TTL_MS
         self._own = {
             one: load for one, load in self._own.items() if load.running or load.used_at_ms >= since
         }
-        self._readings = {
-            one: reading for one, reading in self._readings.items() if one in self._own
+        self._prefills = {
+            one: prefill for one, prefill in self._prefills.items() if one in self._own
         }
--- a/sparline/placement/_pauses.py
+++ b/sparline/placement/_pauses.py
@@ -8,40 +8,40 @@
 # Before any gap has been observed, a gap without prefill is taken to last this fraction of the
 # target, and a prefill to add all of its time: requests have to be placed before any can be
 # observed.
-FIRST_QUIET = 0.15
+INITIAL_BASE_GAP = 0.15
 # Initial and minimum deviation of gaps from their expected length, as a fraction of the target.
-FIRST_DEVIATION = 0.15
-LEAST_DEVIATION = 0.05
+INITIAL_DEVIATION = 0.15
+MIN_DEVIATION = 0.05
 # Weight of one more gap: about the last 20 count.
 WEIGHT = 0.05
 # A gap during which the prefill was shorter than this fraction of the target shows how long gaps
 # without prefill are.
-NO_READING = 0.1
+MAX_IGNORED_PREFILL = 0.1
 # Of the gaps during which an engine prefilled all the time, this share is at most as long as the
 # estimated maximum: the last event of an answer holds few tokens and comes early.
-COVERED_SHARE = 0.9
+MAX_GAP_QUANTILE = 0.9
 # One such gap moves the estimated maximum by at most this fraction of the target, however long a
 # fault made it.
-COVERED_STEP = 0.1
+MAX_GAP_STEP = 0.1
 # Outcomes are counted in bins by prefill time as a fraction of the target: the bin width, and the
 # number of bins, of which the last one has no upper end.
-STEP = 0.25
-STEPS = 13
+BIN_WIDTH = 0.25
+BIN_COUNT = 13
 # Weight of the prediction from gap lengths in each bin, in outcomes.
-EXPECTED_WEIGHT = 2.0
+PREDICTION_WEIGHT = 2.0
 # Maximum count of one bin; older outcomes fade.
-MOST_COUNTED = 300.0
+MAX_BIN_COUNT = 300.0
 
 
 @dataclass(slots=True)
-class _Pause:
+class _GapStats:
     """Statistics of the stream gaps with one target (ms)."""
 
-    quiet_ms: float  # mean gap without prefill
+    base_ms: float  # mean gap without prefill
     deviation_ms: float  # mean distance from that
-    most_ms: float | None = None  # estimated maximum during prefill, None if unknown
-    seen: list[float] = field(default_factory=lambda: [0.0] * STEPS)  # outcomes by bin
-    late: list[float] = field(default_factory=lambda: [0.0] * STEPS)  # late outcomes by bin
+    max_ms: float | None = None  # estimated maximum during prefill, None if unknown
+    seen: list[float] = field(default_factory=lambda: [0.0] * BIN_COUNT)  # outcomes by bin
+    late: list[float] = field(default_factory=lambda: [0.0] * BIN_COUNT)  # late outcomes by bin
     shares: list[float] | None = None  # cached share of late gaps by bin, None after a change
 
 
@@ -50,62 +50,64 @@
 
     def __init__(self) -> None:
         """Start without observations."""
-        self._pauses: dict[tuple[ServiceName, float], _Pause] = {}
+        self._stats: dict[tuple[ServiceName, float], _GapStats] = {}
 
     def note_quiet(
-        self, service: ServiceName, wanted_ms: float, reading_ms: float, pause_ms: float
+        self, service: ServiceName, target_ms: float, prefill_ms: float, gap_ms: float
     ) -> None:
         """Record a gap in which a prefill began; one with a short prefill counts as without."""
-        if reading_ms >= NO_READING * wanted_ms:
+        if prefill_ms >= MAX_IGNORED_PREFILL * target_ms:
             return
-        pause = self._of(service, wanted_ms)
+        stats = self._of(service, target_ms)
         # A fault that blocks one stream for seconds is no evidence about the others.
-        pause_ms = min(pause_ms, wanted_ms)
-        pause.deviation_ms += WEIGHT * (abs(pause_ms - pause.quiet_ms) - pause.deviation_ms)
-        pause.quiet_ms += WEIGHT * (pause_ms - pause.quiet_ms)
-        pause.shares = None
+        gap_ms = min(gap_ms, target_ms)
+        stats.deviation_ms += WEIGHT * (abs(gap_ms - stats.base_ms) - stats.deviation_ms)
+        stats.base_ms += WEIGHT * (gap_ms - stats.base_ms)
+        stats.shares = None
 
-    def note_covered(self, service: ServiceName, wanted_ms: float, pause_ms: float) -> None:
+    def note_covered(self, service: ServiceName, target_ms: float, gap_ms: float) -> None:
         """Record a gap during which an engine prefilled all the time.
 
         It shows how much prefill a gap can hold at most, because an event takes a fixed number of
         steps and each step prefills a bounded chunk.
         """
-        pause = self._of(service, wanted_ms)
-        if pause.most_ms is None:
-            pause.most_ms = pause_ms
-        part = COVERED_SHARE if pause_ms > pause.most_ms else COVERED_SHARE - 1
-        pause.most_ms += part * COVERED_STEP * wanted_ms
-        pause.shares = None
+        stats = self._of(service, target_ms)
+        if stats.max_ms is None:
+            stats.max_ms = gap_ms
+        part = MAX_GAP_QUANTILE if gap_ms > stats.max_ms else MAX_GAP_QUANTILE - 1
+        stats.max_ms += part * MAX_GAP_STEP * target_ms
+        stats.shares = None
 
     def note_outcome(
-        self, service: ServiceName, wanted_ms: float, reading_ms: float, is_late: bool
+        self, service: ServiceName, target_ms: float, prefill_ms: float, is_late: bool
     ) -> None:
         """Record whether a stream's gap became too long after a prefill began.
 
         Prefills that other instances have not reported yet lengthen it too; only outcomes show how
         often.
         """
-        pause = self._of(service, wanted_ms)
-        step = min(int(reading_ms / wanted_ms / STEP), STEPS - 1)
-        if pause.seen[step] >= MOST_COUNTED:
-            pause.seen[step] /= 2
-            pause.late[step] /= 2
-        pause.seen[step] += 1
-        pause.late[step] += is_late
-        pause.shares = None
-
-    def late_share(self, service: ServiceName, wanted_ms: float, reading_ms: float) -> float:
+        stats = self._of(service, target_ms)
+        bin_index = min(int(prefill_ms / target_ms / BIN_WIDTH), BIN_COUNT - 1)
+        if stats.seen[bin_index] >= MAX_BIN_COUNT:
+            stats.seen[bin_index] /= 2
+            stats.late[bin_index] /= 2
+        stats.seen[bin_index] += 1
+        stats.late[bin_index] += is_late
+        stats.shares = None
+
+    def late_share(self, service: ServiceName, target_ms: float, prefill_ms: float) -> float:
         """Return the share of running streams that a prefill makes late, 0 to 1."""
-        if reading_ms <= STEP / 2 * wanted_ms:
+        if prefill_ms <= BIN_WIDTH / 2 * target_ms:
             # Shares are relative to that of the shortest prefills.
             return 0.0
-        pause = self._of(service, wanted_ms)
-        if pause.shares is None:
-            pause.shares = _shares(pause, wanted_ms)
-        place = min(max(reading_ms / wanted_ms / STEP - 0.5, 0.0), STEPS - 1.0)
-        step = min(int(place), STEPS - 2)
-        return pause.shares[step] + (place - step) * (pause.shares[step + 1] - pause.shares[step])
+        stats = self._of(service, target_ms)
+        if stats.shares is None:
+            stats.shares = _late_shares(stats, target_ms)
+        position = min(max(prefill_ms / target_ms / BIN_WIDTH - 0.5, 0.0), BIN_COUNT - 1.0)
+        bin_index = min(int(position), BIN_COUNT - 2)
+        return stats.shares[bin_index] + (position - bin_index) * (
+            stats.shares[bin_index + 1] - stats.shares[bin_index]
+        )
 
     def learned(self) -> dict[str, list[float | None]]:
         """Return the learned values for the log.
@@ -114,22 +116,22 @@
         maximum gap during prefill (ms), and the share of late streams by bin.
         """
         return {
-            f"{service}/{wanted_ms:.0f}": [
-                round(pause.quiet_ms),
-                round(pause.deviation_ms),
-                None if pause.most_ms is None else round(pause.most_ms),
-                *(round(share, 2) for share in _shares(pause, wanted_ms)),
+            f"{service}/{target_ms:.0f}": [
+                round(stats.base_ms),
+                round(stats.deviation_ms),
+                None if stats.max_ms is None else round(stats.max_ms),
+                *(round(share, 2) for share in _late_shares(stats, target_ms)),
             ]
-            for (service, wanted_ms), pause in self._pauses.items()
+            for (service, target_ms), stats in self._stats.items()
         }
 
-    def _of(self, service: ServiceName, wanted_ms: float) -> _Pause:
-        key = (service, wanted_ms)
-        pause = self._pauses.get(key)
-        if pause is None:
-            pause = _Pause(FIRST_QUIET * wanted_ms, FIRST_DEVIATION * wanted_ms)
-            self._pauses[key] = pause
-        return pause
+    def _of(self, service: ServiceName, target_ms: float) -> _GapStats:
+        key = (service, target_ms)
+        stats = self._stats.get(key)
+        if stats is None:
+            stats = _GapStats(INITIAL_BASE_GAP * target_ms, INITIAL_DEVIATION * target_ms)
+            self._stats[key] = stats
+        return stats
 
 
 @dataclass(frozen=True, slots=True)
@@ -138,43 +140,45 @@
 
     share: float  # share of late outcomes
     seen: float  # number of outcomes
-    steps: int  # number of bins
+    bins: int  # number of bins
 
 
-def _shares(pause: _Pause, wanted_ms: float) -> list[float]:
+def _late_shares(stats: _GapStats, target_ms: float) -> list[float]:
     """Return the share of late streams by bin, non-decreasing and relative to the first bin.
 
     This is an isotonic regression by pooling adjacent violators.
     """
     blocks: list[_Block] = []
-    for step in range(STEPS):
-        expected = EXPECTED_WEIGHT * _expected(pause, wanted_ms, (step + 0.5) * STEP * wanted_ms)
-        seen = pause.seen[step] + EXPECTED_WEIGHT
-        block = _Block((pause.late[step] + expected) / seen, seen, 1)
+    for bin_index in range(BIN_COUNT):
+        expected = PREDICTION_WEIGHT * _predicted_late_share(
+            stats, target_ms, (bin_index + 0.5) * BIN_WIDTH * target_ms
+        )
+        seen = stats.seen[bin_index] + PREDICTION_WEIGHT
+        block = _Block((stats.late[bin_index] + expected) / seen, seen, 1)
         # A longer prefill cannot do less harm: bins that violate this are pooled.
         while blocks and blocks[-1].share > block.share:
-            block = _joined(blocks.pop(), block)
+            block = _pooled(blocks.pop(), block)
         blocks.append(block)
-    shares = [block.share for block in blocks for _ in range(block.steps)]
+    shares = [block.share for block in blocks for _ in range(block.bins)]
     return [share - shares[0] for share in shares]
 
 
-def _joined(one: _Block, other: _Block) -> _Block:
+def _pooled(one: _Block, other: _Block) -> _Block:
     seen = one.seen + other.seen
     share = (one.share * one.seen + other.share * other.seen) / seen
-    return _Block(share, seen, one.steps + other.steps)
+    return _Block(share, seen, one.bins + other.bins)
 
 
-def _expected(pause: _Pause, wanted_ms: float, reading_ms: float) -> float:
+def _predicted_late_share(stats: _GapStats, target_ms: float, prefill_ms: float) -> float:
     """Return the share of late streams predicted from gap lengths."""
-    most_ms = math.inf if pause.most_ms is None else max(pause.most_ms, pause.quiet_ms)
+    max_ms = math.inf if stats.max_ms is None else max(stats.max_ms, stats.base_ms)
     # A prefill may be split over two gaps; that other instances start more at the same time is as
     # likely.
-    likely_ms = min(pause.quiet_ms + reading_ms, most_ms)
-    deviation_ms = max(pause.deviation_ms, LEAST_DEVIATION * wanted_ms)
-    return _above((likely_ms - wanted_ms) / deviation_ms)
+    expected_ms = min(stats.base_ms + prefill_ms, max_ms)
+    deviation_ms = max(stats.deviation_ms, MIN_DEVIATION * target_ms)
+    return _normal_probability((expected_ms - target_ms) / deviation_ms)
 
 
-def _above(deviations: float) -> float:
+def _normal_probability(deviations: float) -> float:
     """Return the probability that a normal value exceeds a bound `deviations` below its mean."""
     return 0.5 * (1 + math.erf(deviations / math.sqrt(2)))
--- a/sparline/placement/_place_judge.py
+++ b/sparline/placement/_place_judge.py
@@ -10,7 +10,7 @@
 from sparline.placement._credit import CreditTable
 from sparline.placement._demand import DemandTable
 from sparline.placement._health import HealthTable
-from sparline.placement._kept_prompt import KeptPrompt
+from sparline.placement._kept_prompt import CachedPrefix
 from sparline.placement._limit_shares import LimitShares
 from sparline.placement._loads import LoadTable
 from sparline.placement._pace import EnginePace, PaceTable
@@ -22,25 +22,25 @@
 
 # Operating costs in units of the credit of one prompt token: for each token that is prefilled again
 # although an engine has it cached, and for each MB that an engine transfers.
-REREAD_LOSS = 0.36
+REPEATED_PREFILL_LOSS = 0.36
 FETCH_MB_LOSS = 0.11
-BYTES_A_MB = 1_000_000
+BYTES_PER_MB = 1_000_000
 # A fetch waits for others on the same link: factor on its own transfer time.
-FETCH_TURNS = 1.5
+FETCH_QUEUE_FACTOR = 1.5
 # Fraction of its own credit that a request loses if its own gaps become too long.
 OWN_DELAY_LOSS = 0.5
 # Loss relative to the credit of a request, for its bytes between regions and one more hop, and for
 # its bytes between availability zones.
-FAR_LOSS = 0.03
+OTHER_REGION_LOSS = 0.03
 OTHER_ZONE_LOSS = 0.02
 # Loss for a certain failure, relative to the credit of a request.
 FAILURE_LOSS = 1.5
 # A failure share that exceeds the median of the candidates by up to this much is not significant:
 # it covers the last ten requests only, and fluctuates.
-FAILURE_SWING = 0.15
+FAILURE_TOLERANCE = 0.15
 # Engines are filled up to this fraction of their cache; beyond it, and beyond their slots, a
 # request waits or makes another wait, at this loss.
-MEMORY_FILL = 0.9
+MAX_MEMORY_SHARE = 0.9
 MEMORY_LOSS = 1.0
 # Time of a request and its response apart from all waiting (ms).
 EXCHANGE_MS = 8.0
@@ -48,7 +48,7 @@
 # grows with the square of the time, the value that arrives during a prefill loses this many times
 # the square of the queueing time relative to the target: when an engine crashes and the rest are
 # overloaded, long requests are rejected first.
-DISPLACED = 2.0
+DISPLACEMENT_WEIGHT = 2.0
 # Loss reduction for the owner of a prefix, so that instances that place requests with it at the
 # same moment, before any has reported, choose the same engine.
 OWNER_GAIN = 0.05
@@ -91,8 +91,8 @@
 class CommonFacts:
     """Facts that are the same for all candidates of one request."""
 
-    sound: frozenset[BackendServerId]  # healthy candidates
-    kept: KeptPrompt  # where the prefix of its prompt is cached
+    healthy: frozenset[BackendServerId]  # healthy candidates
+    cached_prefix: CachedPrefix  # where the prefix of its prompt is cached
     usual_failing: float  # median failure share of the candidates
     credit: int  # credit of the request, in prompt tokens
     usual_credit: float  # usual credit of a request of its service
@@ -116,22 +116,22 @@
     effort_tokens: int  # prefill, as tokens at the start of a prompt that take as long
     fetched_tokens: int  # tokens that another engine transfers to it
     source: BackendServer | None  # that engine
-    reread_tokens: int  # tokens that it prefills although some engine has them cached
+    repeated_tokens: int  # tokens that it prefills although some engine has them cached
 
 
 NO_WORK = _Work(0, 0, 0, None, 0)
 
 
-class PlaceJudge:
+class LossEstimator:
     """Estimates the loss of requests of one region at a server."""
 
-    def __init__(self, place: OwnPlace, tables: PlacementTables, chance: random.Random) -> None:
+    def __init__(self, place: OwnPlace, tables: PlacementTables, rng: random.Random) -> None:
         """Estimate from the tables of one instance."""
         self._place = place
         self._tables = tables
-        self._chance = chance
+        self._rng = rng
 
-    def judge(
+    def estimate(
         self,
         request: RoutedRequest,
         service: Service,
@@ -140,17 +140,17 @@
     ) -> Placement | None:
         """Return the placement at a server with its loss, None if no instance can send it there."""
         peer = None
-        way_ms = 0.0
+        network_ms = 0.0
         if server.region != self._place.region:
             peers = common.peers_in(server.region)
             if not peers:
                 return None
-            peer = self._chance.choice(peers)
-            way_ms = self._tables.round_trip_ms(server.region)
+            peer = self._rng.choice(peers)
+            network_ms = self._tables.round_trip_ms(server.region)
         load = self._tables.loads.of(server)
-        work = self._work(request, service, server, common.kept)
+        work = self._work(request, service, server, common.cached_prefix)
         pace = self._tables.pace.engine(service.name, server.id)
-        expected_ms = way_ms + self._time_there_ms(request, service, server, load, work, pace)
+        expected_ms = network_ms + self._server_time_ms(request, service, server, load, work, pace)
         loss = (expected_ms / request.route.wanted_latency_ms) ** 2
         loss += self._server_loss(server, common)
         if request.prompt is not None and service.engine is not None:
@@ -172,36 +172,44 @@
         )
 
     def _doubt(self, server: BackendServer, common: CommonFacts) -> Doubt:
-        if server.id not in common.sound:
+        if server.id not in common.healthy:
             return Doubt.PASSED_OVER
         # A server that is down reports no load and looks best from another region.
-        far = server.region != self._place.region
-        return Doubt.PASSED_OVER if far and self._tables.is_doubted_there(server.id) else Doubt.NONE
+        is_remote = server.region != self._place.region
+        return (
+            Doubt.PASSED_OVER
+            if is_remote and self._tables.is_doubted_there(server.id)
+            else Doubt.NONE
+        )
 
     def _server_loss(self, server: BackendServer, common: CommonFacts) -> float:
         """Return the loss from failures and network distance, less the gain of a prefix's owner."""
         failing = self._tables.health.failing(server.id) - common.usual_failing
-        loss = FAILURE_LOSS * max(failing - FAILURE_SWING, 0.0)
+        loss = FAILURE_LOSS * max(failing - FAILURE_TOLERANCE, 0.0)
         if server.region != self._place.region:
-            loss += FAR_LOSS
+            loss += OTHER_REGION_LOSS
         elif server.zone != self._place.zone:
             loss += OTHER_ZONE_LOSS
-        if server.id == common.kept.reader:
-            loss -= FLEET_OWNER_GAIN if common.kept.fleet_wide else OWNER_GAIN
+        if server.id == common.cached_prefix.prefill_owner:
+            loss -= FLEET_OWNER_GAIN if common.cached_prefix.fleet_wide else OWNER_GAIN
         return loss
 
     def _work(
-        self, request: RoutedRequest, service: Service, server: BackendServer, kept: KeptPrompt
+        self,
+        request: RoutedRequest,
+        service: Service,
+        server: BackendServer,
+        cached_prefix: CachedPrefix,
     ) -> _Work:
         """Return the work of an engine before the request's first event."""
         if request.prompt is None:
             return NO_WORK
-        unread = max(request.prompt.tokens - kept.at(server), 0)
+        unread = max(request.prompt.tokens - cached_prefix.tokens_at(server), 0)
         fetched, source = 0, None
         if service.engine is not None and service.engine.fetches:
-            source = kept.source_for(server)
+            source = cached_prefix.source_for(server)
         if source is not None:
-            fetched = kept.at(source) - kept.at(server)
+            fetched = cached_prefix.tokens_at(source) - cached_prefix.tokens_at(server)
             unread = max(unread - fetched, 0)
         usual = self._tables.pace.service(service.name)
         return _Work(
@@ -209,10 +217,12 @@
             effort_tokens=usual.effort_tokens(unread, request.prompt.tokens - unread),
             fetched_tokens=fetched,
             source=source,
-            reread_tokens=max(kept.most - kept.at(server) - fetched, 0),
+            repeated_tokens=max(
+                cached_prefix.max_tokens - cached_prefix.tokens_at(server) - fetched, 0
+            ),
         )
 
-    def _time_there_ms(
+    def _server_time_ms(
         self,
         request: RoutedRequest,
         service: Service,
@@ -229,7 +239,7 @@
             return EXCHANGE_MS + work_ms * (1 + queued / max(server.slots, 1))
         queued = max(load.running + 1 - service.engine.slots, 0)
         queue_ms = queued / service.engine.slots * usual_ms
-        fetch_ms = FETCH_TURNS * service.engine.fetch_ms(work.fetched_tokens)
+        fetch_ms = FETCH_QUEUE_FACTOR * service.engine.fetch_ms(work.fetched_tokens)
         reading_ms = (load.unread_tokens + work.effort_tokens) * pace.token_ms
         return pace.base_ms + queue_ms + reading_ms + fetch_ms
 
@@ -246,18 +256,18 @@
         prompt = request.prompt
         assert prompt is not None, "request has no prompt"
         credit = common.credit
-        fetched_mb = work.fetched_tokens * engine.token_bytes / BYTES_A_MB
-        loss = (REREAD_LOSS * work.reread_tokens + FETCH_MB_LOSS * fetched_mb) / credit
-        pause_ms = request.route.pause_target_ms
-        if pause_ms:
+        fetched_mb = work.fetched_tokens * engine.token_bytes / BYTES_PER_MB
+        loss = (REPEATED_PREFILL_LOSS * work.repeated_tokens + FETCH_MB_LOSS * fetched_mb) / credit
+        gap_target_ms = request.route.pause_target_ms
+        if gap_target_ms:
             late = self._tables.pauses.late_share
             before_ms = load.unread_tokens * pace.token_ms
             after_ms = before_ms + work.effort_tokens * pace.token_ms
-            after = late(request.service, pause_ms, after_ms)
-            added = after - late(request.service, pause_ms, before_ms)
+            after = late(request.service, gap_target_ms, after_ms)
+            added = after - late(request.service, gap_target_ms, before_ms)
             loss += load.running * added * common.usual_credit / credit
             loss += OWN_DELAY_LOSS * after
-        if load.held_tokens + prompt.held_tokens > MEMORY_FILL * engine.cache_tokens:
+        if load.held_tokens + prompt.held_tokens > MAX_MEMORY_SHARE * engine.cache_tokens:
             loss += MEMORY_LOSS
         if load.running >= engine.slots:
             loss += MEMORY_LOSS
@@ -270,5 +280,5 @@
     """Return the loss of the requests that queue behind a prefill."""
     queue_ms = load.unread_tokens * pace.token_ms
     reading_ms = work.effort_tokens * pace.token_ms
-    queue = queue_ms / request.route.wanted_latency_ms
-    return DISPLACED * common.demand * reading_ms * queue**2
+    queue_ratio = queue_ms / request.route.wanted_latency_ms
+    return DISPLACEMENT_WEIGHT * common.demand * reading_ms * queue_ratio**2
--- a/sparline/placement/_rate_shares.py
+++ b/sparline/placement/_rate_shares.py
@@ -12,9 +12,9 @@
 
 # Maximum number of instances that share one server's rate. Each may send one request early, so this
 # is also the largest burst.
-MOST_SHARING = 4
+MAX_SHARING = 4
 # Part of the rate that is used; the rest is a margin for clock differences and network delay.
-RATE_USED = 0.85
+USED_RATE_SHARE = 0.85
 
 Sharers = Callable[[], list[str]]
 IsSettled = Callable[[], bool]
@@ -51,7 +51,7 @@
         return self._is_settled() and self._has_share(server_id)
 
     def note_sent(self, server_id: BackendServerId, rate_per_s: float) -> tuple[int, float]:
-        """Record a request; return how many instances share the rate and the pause after it (ms)."""
+        """Record a request; return the number of sharing instances and the pause after it (ms)."""
         sharers = len(self._sharers())
         self._last[server_id] = _LastSend(now_ms(), sharers)
         return sharers, _pause_ms(sharers, rate_per_s)
@@ -63,11 +63,11 @@
     def _has_share(self, server_id: BackendServerId) -> bool:
         """Tell whether this instance is one of those that share the server's rate."""
         sharers = self._sharers()
-        if len(sharers) <= MOST_SHARING:
+        if len(sharers) <= MAX_SHARING:
             return True
         order = sorted(sharers, key=lambda ip: hash64(f"cold/{server_id}/{ip}"), reverse=True)
-        return self._own_ip in order[:MOST_SHARING]
+        return self._own_ip in order[:MAX_SHARING]
 
 
 def _pause_ms(sharers: int, rate_per_s: float) -> float:
-    return 1000 * min(sharers, MOST_SHARING) / (rate_per_s * RATE_USED)
+    return 1000 * min(sharers, MAX_SHARING) / (rate_per_s * USED_RATE_SHARE)
--- a/sparline/placement/_server_limits.py
+++ b/sparline/placement/_server_limits.py
@@ -10,13 +10,13 @@
 
 # Time after which a limit that no answer has repeated is forgotten (ms). Removed limits are kept as
 # long, so that an instance that was partitioned does not restore an outdated one.
-KEPT_MS = 120_000.0
+LIMIT_TTL_MS = 120_000.0
 # A limit from a peer replaces the known one only if it is newer by more than this (ms), because ages
 # in gossip do not include the network delay, which varies between datagrams.
 AGE_TOLERANCE_MS = 100.0
 # Maximum number of limits in one datagram, a random sample where there are more: about 25 bytes
 # each.
-MOST_TOLD = 8
+MAX_LIMITS_PER_DATAGRAM = 8
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     def __init__(self, on_change: Callable[[ServerLimit], None] = lambda _limit: None) -> None:
         """Start empty; `on_change` is called when a limit is added, changed or removed."""
         self._on_change = on_change
-        self._chance = random.Random()
+        self._rng = random.Random()
         self._limits: dict[BackendServerId, ServerLimit] = {}
 
     def note_answer(self, server_id: BackendServerId, per_s: float | None) -> None:
@@ -60,8 +60,8 @@
         the network delay of each hop.
         """
         limits = [limit for limit in self._limits.values() if not limit.from_peer]
-        if len(limits) > MOST_TOLD:
-            limits = self._chance.sample(limits, MOST_TOLD)
+        if len(limits) > MAX_LIMITS_PER_DATAGRAM:
+            limits = self._rng.sample(limits, MAX_LIMITS_PER_DATAGRAM)
         return [_note(limit) for limit in limits]
 
     def _update(self, limit: ServerLimit) -> None:
@@ -80,8 +80,8 @@
         return sum(limit.per_s is not None for limit in self._limits.values())
 
     def forget_old(self) -> None:
-        """Forget limits that no answer has repeated for `KEPT_MS`."""
-        since_ms = now_ms() - KEPT_MS
+        """Forget limits that no answer has repeated for `LIMIT_TTL_MS`."""
+        since_ms = now_ms() - LIMIT_TTL_MS
         self._limits = {
             server_id: limit for server_id, limit in self._limits.items() if limit.at_ms >= since_ms
         }
--- a/sparline/placement/_shortlist.py
+++ b/sparline/placement/_shortlist.py
@@ -16,12 +16,12 @@
 
 # Services of up to this many servers are considered completely: a choice then takes about a
 # millisecond.
-MOST_WHOLE = 64
+MAX_COMPLETE = 64
 # Numbers of servers considered otherwise: of the own region, of all others together, and of one of
 # these.
-MOST_NEAR = 40
-MOST_FAR = 24
-MOST_IN_FAR_REGION = 12
+MAX_OWN_REGION = 40
+MAX_OTHER_REGIONS = 24
+MAX_PER_OTHER_REGION = 12
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,49 +35,53 @@
 class Shortlist:
     """Selects the servers that are considered."""
 
-    def __init__(self, region: RegionName, chance: random.Random) -> None:
+    def __init__(self, region: RegionName, rng: random.Random) -> None:
         """Select for the callers of an instance in a region."""
         self._region = region
-        self._chance = chance
+        self._rng = rng
         self._slices: dict[str, _Slices] = {}
 
     def of(self, request: RoutedRequest, servers: list[BackendServer]) -> Sequence[BackendServer]:
         """Return the candidates for a request among a service's servers."""
-        if len(servers) <= MOST_WHOLE:
+        if len(servers) <= MAX_COMPLETE:
             return servers
         slices = self._slices.get(request.service)
         if slices is None or slices.servers is not servers:
-            slices = self._slices[request.service] = _Slices(servers, self._dealt(servers))
-        point = self._point(request)
-        found = list(_slice(slices.by_region.get(self._region, []), point))
+            slices = self._slices[request.service] = _Slices(
+                servers, self._sliced_by_region(servers)
+            )
+        selector = self._slice_selector(request)
+        found = list(_slice(slices.by_region.get(self._region, []), selector))
         others = [region for region in slices.by_region if region != self._region]
-        self._chance.shuffle(others)
+        self._rng.shuffle(others)
         far: list[BackendServer] = []
         for region in others:
-            if len(far) + MOST_IN_FAR_REGION <= MOST_FAR:
-                far += _slice(slices.by_region[region], point)
+            if len(far) + MAX_PER_OTHER_REGION <= MAX_OTHER_REGIONS:
+                far += _slice(slices.by_region[region], selector)
         return found + far
 
-    def _dealt(self, servers: list[BackendServer]) -> dict[RegionName, list[list[BackendServer]]]:
+    def _sliced_by_region(
+        self, servers: list[BackendServer]
+    ) -> dict[RegionName, list[list[BackendServer]]]:
         by_region: dict[RegionName, list[BackendServer]] = {}
         for server in sorted(servers, key=lambda one: hash64(one.id)):
             by_region.setdefault(server.region, []).append(server)
         return {
-            region: _cut(some, MOST_NEAR if region == self._region else MOST_IN_FAR_REGION)
+            region: _deal(some, MAX_OWN_REGION if region == self._region else MAX_PER_OTHER_REGION)
             for region, some in by_region.items()
         }
 
-    def _point(self, request: RoutedRequest) -> int:
+    def _slice_selector(self, request: RoutedRequest) -> int:
         """Return what selects the slices: hash of the longest shared prefix, else random."""
         starts = request.prompt.shared_starts if request.prompt else ()
-        return hash64(starts[-1].key) if starts else self._chance.getrandbits(64)
+        return hash64(starts[-1].key) if starts else self._rng.getrandbits(64)
 
 
-def _slice(slices: list[list[BackendServer]], point: int) -> list[BackendServer]:
-    return slices[point % len(slices)] if slices else []
+def _slice(slices: list[list[BackendServer]], selector: int) -> list[BackendServer]:
+    return slices[selector % len(slices)] if slices else []
 
 
-def _cut(servers: list[BackendServer], most: int) -> list[list[BackendServer]]:
-    """Deal servers into the fewest slices of at most `most` servers."""
-    count = -(-len(servers) // most)
+def _deal(servers: list[BackendServer], max_size: int) -> list[list[BackendServer]]:
+    """Deal servers into the fewest slices of at most `max_size` servers."""
+    count = -(-len(servers) // max_size)
     return [servers[number::count] for number in range(count)]
--- a/sparline/placement/_stream_watch.py
+++ b/sparline/placement/_stream_watch.py
@@ -5,13 +5,13 @@
 
 from sparline._clock import now_ms
 from sparline.placement._loads import LoadTable, Reservation
-from sparline.placement._pace import FirstEvent, PaceTable
+from sparline.placement._pace import PaceTable, PrefillWork
 from sparline.placement._pauses import PauseTable
 from sparline.placement._placement import Placement
 from sparline.requests import RoutedRequest
 
 # Fraction of its expected time during which a prefill is certainly running.
-SURE_PART = 0.8
+CERTAIN_SHARE = 0.8
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,13 +25,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _PauseReading:
+class _GapPrefill:
     """Prefill that began during a gap."""
 
-    all_ms: float  # time that the engine needed for the whole queue
-    sure_until_ms: float  # until when it was certainly busy with prefill
-    pause_ms: float  # length of that gap
-    is_first: bool  # whether nothing else was queued
+    queue_ms: float  # time that the engine needed for the whole queue
+    busy_until_ms: float  # until when it was certainly busy with prefill
+    gap_ms: float  # length of that gap
+    is_alone: bool  # whether nothing else was queued
 
 
 class StreamWatch:
@@ -53,7 +53,7 @@
         self._first_at_ms = 0.0
         self._event_at_ms = 0.0
         self._events = 0
-        self._began: _PauseReading | None = None
+        self._gap_prefill: _GapPrefill | None = None
 
     def note_event(self) -> None:
         """Record an event that has just arrived completely."""
@@ -64,17 +64,19 @@
         self._events += 1
         if self._events == 1:
             self._first_at_ms = now_ms()
-            shown_log = None if self._stood_still_since(self._sent_at_ms) else self._note_first()
+            shown_log = (
+                None if self._was_suspended_since(self._sent_at_ms) else self._note_prefill_speed()
+            )
             self._reservation.note_first_event(shown_log)
-        elif self._stood_still_since(self._event_at_ms):
-            self._began = None
+        elif self._was_suspended_since(self._event_at_ms):
+            self._gap_prefill = None
         elif self._request.route.pause_target_ms:
-            self._note_pause(now_ms() - self._event_at_ms)
+            self._note_gap(now_ms() - self._event_at_ms)
         self._event_at_ms = now_ms()
 
     def note_end(self) -> None:
         """Record that the answer is complete."""
-        if self._placement.peer is not None or self._stood_still_since(self._sent_at_ms):
+        if self._placement.peer is not None or self._was_suspended_since(self._sent_at_ms):
             return
         service = self._request.service
         self._tables.pace.note_answer(service, now_ms() - self._sent_at_ms)
@@ -83,50 +85,50 @@
             took_ms = now_ms() - self._first_at_ms
             self._tables.pace.note_output(service, prompt.most_output_tokens, took_ms)
 
-    def _stood_still_since(self, at_ms: float) -> bool:
+    def _was_suspended_since(self, at_ms: float) -> bool:
         """Tell whether this process was suspended since then, which makes the time meaningless."""
         return self._tables.thawed_at_ms() > at_ms
 
-    def _note_first(self) -> float | None:
+    def _note_prefill_speed(self) -> float | None:
         """Learn how fast the engine prefills, unless something else delayed the request."""
         place = self._placement
         prompt = self._request.prompt
         if prompt is None or place.source is not None or place.waits:
             return None
-        reading = FirstEvent(
-            before_tokens=place.load.unread_tokens,
+        prefill = PrefillWork(
+            queued_tokens=place.load.unread_tokens,
             unread_tokens=place.unread_tokens,
-            kept_tokens=prompt.tokens - place.unread_tokens,
+            cached_tokens=prompt.tokens - place.unread_tokens,
         )
         took_ms = now_ms() - self._sent_at_ms
         pace = self._tables.pace
-        return pace.note_first_event(self._request.service, place.server.id, reading, took_ms)
+        return pace.note_first_event(self._request.service, place.server.id, prefill, took_ms)
 
-    def _note_pause(self, pause_ms: float) -> None:
+    def _note_gap(self, gap_ms: float) -> None:
         """Learn from a gap in which this instance sent a prompt, and from the next one."""
         service = self._request.service
-        wanted_ms = self._request.route.pause_target_ms
+        target_ms = self._request.route.pause_target_ms
         pauses = self._tables.pauses
-        if self._began is not None:
-            if self._began.sure_until_ms >= now_ms():
-                pauses.note_covered(service, wanted_ms, pause_ms)
-            is_late = max(pause_ms, self._began.pause_ms) > wanted_ms
-            pauses.note_outcome(service, wanted_ms, self._began.all_ms, is_late)
-        self._began = self._reading_of(pause_ms)
-        if self._began is not None and self._began.is_first:
-            pauses.note_quiet(service, wanted_ms, self._began.all_ms, pause_ms)
-
-    def _reading_of(self, pause_ms: float) -> _PauseReading | None:
+        if self._gap_prefill is not None:
+            if self._gap_prefill.busy_until_ms >= now_ms():
+                pauses.note_covered(service, target_ms, gap_ms)
+            is_late = max(gap_ms, self._gap_prefill.gap_ms) > target_ms
+            pauses.note_outcome(service, target_ms, self._gap_prefill.queue_ms, is_late)
+        self._gap_prefill = self._prefill_during(gap_ms)
+        if self._gap_prefill is not None and self._gap_prefill.is_alone:
+            pauses.note_quiet(service, target_ms, self._gap_prefill.queue_ms, gap_ms)
+
+    def _prefill_during(self, gap_ms: float) -> _GapPrefill | None:
         """Return the prefill that this instance sent during the gap, None without one."""
-        reading = self._tables.loads.last_reading(self._placement.server.id)
-        if reading is None or reading.at_ms < self._event_at_ms:
+        prefill = self._tables.loads.last_reading(self._placement.server.id)
+        if prefill is None or prefill.at_ms < self._event_at_ms:
             return None
         pace = self._tables.pace.engine(self._request.service, self._placement.server.id)
         # Progress of the prefills queued before is not reported: count them as finished.
-        sure_ms = SURE_PART * reading.tokens * pace.token_ms
-        return _PauseReading(
-            all_ms=(reading.before_tokens + reading.tokens) * pace.token_ms,
-            sure_until_ms=reading.at_ms + sure_ms,
-            pause_ms=pause_ms,
-            is_first=not reading.before_tokens,
+        certain_ms = CERTAIN_SHARE * prefill.tokens * pace.token_ms
+        return _GapPrefill(
+            queue_ms=(prefill.queued_tokens + prefill.tokens) * pace.token_ms,
+            busy_until_ms=prefill.at_ms + certain_ms,
+            gap_ms=gap_ms,
+            is_alone=not prefill.queued_tokens,
         )
--- a/sparline/placement/tests/test_choice.py
+++ b/sparline/placement/tests/test_choice.py
@@ -108,13 +108,13 @@
     return lambda world: world.loads.update(loads)
 
 
-def read_long_at(server: BackendServer):
-    def told(world: World) -> None:
+def cache_long_prefix_at(server: BackendServer):
+    def reported(world: World) -> None:
         other = PromptCache(owners_have_read=False)
         other.note(LONG, server.id, 300_000)
         world.cache.take_reads(other.recent_reads())
 
-    return told
+    return reported
 
 
 SOUTH_ONLY = make_route(homes=frozenset((SOUTH,)))
@@ -147,8 +147,8 @@
     ("only server has lost its address to another", (N1,), lambda w: w.health.note_misdirected(N1.id), make_request(), "refused: no_backend"),
     ("server that fails more often than the others", (N1, N2, N3), lambda w: (fail_often(w), fail_as_usual(w, N2), fail_as_usual(w, N3)), make_request(), ("n2", "n3")),
     ("usual failure share", (N1, S1), fail_as_usual, make_request(), "n1"),
-    ("long prefix where it is cached", (N1, N2, S1), read_long_at(S1), make_request(prompt=LONG), "s1"),
-    ("long prefix cached on a loaded engine", (N1, S1), lambda w: (read_long_at(S1)(w), w.loads.update(s1=BUSY)), make_request(prompt=LONG), "n1"),
+    ("long prefix where it is cached", (N1, N2, S1), cache_long_prefix_at(S1), make_request(prompt=LONG), "s1"),
+    ("long prefix cached on a loaded engine", (N1, S1), lambda w: (cache_long_prefix_at(S1)(w), w.loads.update(s1=BUSY)), make_request(prompt=LONG), "n1"),
     ("short request avoids queued long prefill", (N1, N2), set_load(n1=LoadOf(1, 17_000, 17_000)), make_request(prompt=SHORT), "n2"),
     ("very long prompt beside running requests", (N1,), set_load(n1=LoadOf(10, 100_000, 0)), make_request(prompt=VERY_LONG), "n1"),
     ("very long prompt behind a long queue", (N1,), set_load(n1=BUSY), make_request(prompt=VERY_LONG), "refused: deadline_unreachable"),
@@ -169,7 +169,7 @@
 URGENT, PATIENT = make_route(priority=0), make_route(priority=2)
 # Prefill of this queue takes the engine 240 ms.
 QUEUE = LoadOf(4, 30_000, 12_000)
-DEMANDS = [
+DEMAND_CASES = [
     # arrivals in the last second, the request, the outcome
     ("no arrivals", [], make_request(PATIENT, prompt=LONG), "n1"),
     ("as much as the engine can prefill", [(URGENT, SHORT)] * 5, make_request(PATIENT, prompt=LONG), "n1"),
@@ -179,12 +179,12 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("row", DEMANDS, ids=[row[0] for row in DEMANDS])
+@pytest.mark.parametrize("row", DEMAND_CASES, ids=[row[0] for row in DEMAND_CASES])
 def test_loss_of_prefill_includes_delay_of_arrivals(row):
-    _, came, request, chosen = row
+    _, arrivals, request, chosen = row
     world = World(N1)
     world.loads["n1"] = QUEUE
-    for route, prompt in came:
+    for route, prompt in arrivals:
         world.tables.demand.note(make_request(route, prompt=prompt), prompt)
     assert world.choose(request) == chosen
 
@@ -253,13 +253,13 @@
 
 @pytest.mark.parametrize("row", FETCHES, ids=[row[0] for row in FETCHES])
 def test_long_prefix_is_fetched(monkeypatch, row):
-    _, servers, keeper, kept_ms, loads, expected = row
+    _, servers, holder, cached_ms, loads, expected = row
     world = World(*servers)
     services = world.fleet.configuration.services
     services[ENGINES] = dataclasses.replace(services[ENGINES], engine=FETCHING)
-    read_long_at(keeper)(world)
+    cache_long_prefix_at(holder)(world)
     told_at_ms = now_ms()
-    monkeypatch.setattr(_prompt_cache, "now_ms", lambda: told_at_ms + kept_ms)
+    monkeypatch.setattr(_prompt_cache, "now_ms", lambda: told_at_ms + cached_ms)
     if loads == "failing":
         fail_often(world)
     else:
@@ -271,7 +271,7 @@
 
 def test_engines_without_fetch_support_do_not_fetch():
     world = World(N1, N2)
-    read_long_at(N1)(world)
+    cache_long_prefix_at(N1)(world)
     world.loads["n1"] = BUSY
     place = world.chooser.choose(make_request(prompt=LONG), frozenset())
     assert (place.server.id, place.source, place.unread_tokens) == ("n2", None, 17_000)
@@ -317,7 +317,7 @@
     assert set(moved) == {engines[0]}
 
 
-CACHES = [
+OWNER_CASES = [
     # owners taken to have cached, reported by a peer, result for this owner
     (False, False, False),
     (True, False, True),
@@ -326,15 +326,15 @@
 ]
 
 
-@pytest.mark.parametrize(("assumed", "told", "taken"), CACHES)
-def test_owner_is_taken_to_have_cached_only_without_reports(assumed, told, taken):
+@pytest.mark.parametrize(("assumed", "reported", "taken"), OWNER_CASES)
+def test_owner_is_taken_to_have_cached_only_without_reports(assumed, reported, taken):
     cache = PromptCache(owners_have_read=assumed)
     other = PromptCache(owners_have_read=False)
     other.note(LONG, N1.id, 300_000)
-    if told:
+    if reported:
         cache.take_reads(other.recent_reads())
     assert cache.owner_has_read(LONG) is taken
-    assert cache.cached_tokens(LONG, N1.id) == (13_000 if told else 0)
+    assert cache.cached_tokens(LONG, N1.id) == (13_000 if reported else 0)
 
 
 def test_oldest_prefixes_are_evicted():
@@ -345,7 +345,7 @@
     assert [cache.cached_tokens(one, N1.id) for one in prompts] == [0] * 5 + [2_000] * 5
 
 
-FILLED = [
+REFILLS = [
     # tokens sent since by this instance, instances that share the engine, still cached
     ("few tokens", 9_000, 1, True),
     ("as many as the cache holds", 13_000, 1, False),
@@ -366,7 +366,7 @@
 
 
 @pytest.mark.parametrize(
-    ("taken", "sharing", "kept"), [row[1:] for row in FILLED], ids=[row[0] for row in FILLED]
+    ("taken", "sharing", "kept"), [row[1:] for row in REFILLS], ids=[row[0] for row in REFILLS]
 )
 def test_long_prefix_counts_as_cached_until_cache_is_refilled(taken, sharing, kept):
     cache = PromptCache(owners_have_read=False, sharing=lambda: sharing)
@@ -391,10 +391,10 @@
 
 
 def test_number_of_kept_reports_is_bounded(monkeypatch):
-    monkeypatch.setattr("sparline.placement._prompt_cache.MOST_HEARD", 3)
+    monkeypatch.setattr("sparline.placement._prompt_cache.MAX_REPORTS_KEPT", 3)
     cache = PromptCache(owners_have_read=True)
     cache.take_reads([PromptReadNote(0, number, "n1") for number in range(10)])
-    assert len(cache._heard) == len(cache._heard_starts) == 3
+    assert len(cache._uses) == len(cache._use_counts) == 3
 
 
 def test_report_reaches_every_cache_and_then_stops(monkeypatch):
@@ -402,15 +402,15 @@
     monkeypatch.setattr(_prompt_cache, "now_ms", lambda: at_ms[0])
     caches = [PromptCache(owners_have_read=False) for _ in range(6)]
     caches[0].note(LONG, N1.id, 300_000)
-    told = []
+    reported = []
     for _ in range(40):
         at_ms[0] += 250
         for teller, taker in zip(caches, [*caches[1:], caches[0]], strict=True):
             notes = teller.recent_reads()
-            told.append(len(notes))
+            reported.append(len(notes))
             taker.take_reads(notes)
     assert all(cache.cached_tokens(LONG, N1.id) for cache in caches)
-    assert sum(told) < 6 * 11 and not any(told[-6:])
+    assert sum(reported) < 6 * 11 and not any(reported[-6:])
 
 
 def test_each_use_of_a_prefix_is_reported_again(monkeypatch):
--- a/sparline/placement/tests/test_cold_shares.py
+++ b/sparline/placement/tests/test_cold_shares.py
@@ -25,7 +25,7 @@
 
 RATE_PER_S = 4.0
 # Maximum that a cold server takes in any one second, from all instances together.
-BEARS_IN_A_SECOND = 9
+MAX_IN_A_SECOND = 9
 SECOND_MS = 1_000.0
 
 
@@ -60,7 +60,7 @@
     return one
 
 
-ALL_START = [
+START_CASES = [
     # instances in the region, other regions, seconds between the first start and the last
     ("single region", 26, 0, 0.3),
     ("few in each region", 3, 2, 0.3),
@@ -71,13 +71,15 @@
 
 
 @pytest.mark.parametrize(
-    ("instances", "others", "over_s"), [row[1:] for row in ALL_START], ids=[r[0] for r in ALL_START]
+    ("instances", "others", "over_s"),
+    [row[1:] for row in START_CASES],
+    ids=[r[0] for r in START_CASES],
 )
 def test_instances_that_start_together_respect_cold_rate(fleet, instances, others, over_s):
     for region in range(1, others + 2):
         start(fleet, region, range(1, instances + 1), over_s)
     sent = run(fleet, seconds=6)
-    assert most_in_a_second(sent) <= BEARS_IN_A_SECOND
+    assert most_in_a_second(sent) <= MAX_IN_A_SECOND
     # Guards against a rate that stays unused once the instances know each other.
     assert len(sent) >= RATE_PER_S * 2
 
@@ -116,7 +118,7 @@
     sent = run(fleet, seconds=4)
     change(fleet)
     sent += run(fleet, seconds=4)
-    assert most_in_a_second(sent) <= BEARS_IN_A_SECOND
+    assert most_in_a_second(sent) <= MAX_IN_A_SECOND
 
 
 def restart_some(fleet: FakeFleet) -> None:
@@ -149,14 +151,14 @@
         change = fleet.chance.choice([restart_some, lose_datagrams, partition_some, join_one])
         change(fleet)
         sent += run(fleet, seconds=fleet.chance.uniform(0.2, 2.0))
-    assert most_in_a_second(sent) <= BEARS_IN_A_SECOND
+    assert most_in_a_second(sent) <= MAX_IN_A_SECOND
 
 
 def test_cold_rate_holds_under_datagram_loss(fleet):
     fleet.lossy = 0.3
     start(fleet, 1, range(1, 27), over_s=0.3)
     sent = run(fleet, seconds=6)
-    assert most_in_a_second(sent) <= BEARS_IN_A_SECOND
+    assert most_in_a_second(sent) <= MAX_IN_A_SECOND
     assert len(sent) >= RATE_PER_S
 
 
@@ -170,7 +172,7 @@
         start(fleet, region, [1], over_s=0.0)
     assert run(fleet, seconds=1.4) == []
     sent = run(fleet, seconds=5)
-    assert most_in_a_second(sent) <= BEARS_IN_A_SECOND
+    assert most_in_a_second(sent) <= MAX_IN_A_SECOND
     assert len(sent) >= RATE_PER_S
 
 
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -19,7 +19,7 @@
     WatchTables,
 )
 from sparline.placement._fit import Fit
-from sparline.placement._pace import FirstEvent
+from sparline.placement._pace import PrefillWork
 from sparline.requests import Prompt
 from sparline.tests.routed import ENGINES, make_request, make_route, make_server
 
@@ -56,12 +56,12 @@
     assert Fit((5.0, 2.0), (1.0, 1.0), 0.9).weights == (5.0, 2.0)
 
 
-def show_reading(pace: PaceTable, server_id, tokens_per_ms: float, times: int, base_ms=30.0):
+def record_prefills(pace: PaceTable, server_id, tokens_per_ms: float, times: int, base_ms=30.0):
     chance = random.Random(3)
     for _ in range(times):
         tokens = chance.choice((200, 2_000, 12_000))
         took_ms = base_ms + tokens / tokens_per_ms
-        pace.note_first_event(ENGINES, server_id, FirstEvent(0, tokens, 0), took_ms)
+        pace.note_first_event(ENGINES, server_id, PrefillWork(0, tokens, 0), took_ms)
 
 
 PACES = [10.0, 22.0, 56.6, 200.0]
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize("tokens_per_ms", PACES)
 def test_pace_is_learned_from_thirty_requests(clock, tokens_per_ms):
     pace = PaceTable()
-    show_reading(pace, N1.id, tokens_per_ms, 30)
+    record_prefills(pace, N1.id, tokens_per_ms, 30)
     found = pace.engine(ENGINES, N1.id)
     likely_ms = found.base_ms + 8_000 * found.token_ms
     assert likely_ms == pytest.approx(30 + 8_000 / tokens_per_ms, rel=0.2)
@@ -78,12 +78,12 @@
 
 def test_slow_engine_is_detected_and_its_factor_decays(clock):
     pace = PaceTable()
-    show_reading(pace, N1.id, 50.0, 60)
+    record_prefills(pace, N1.id, 50.0, 60)
     usual = pace.engine(ENGINES, N2.id).token_ms
     for _ in range(15):
         # Measurements behind queued prefills change the engine's factor, not the service's
         # estimate.
-        pace.note_first_event(ENGINES, N2.id, FirstEvent(20_000, 2_000, 0), 1_500.0)
+        pace.note_first_event(ENGINES, N2.id, PrefillWork(20_000, 2_000, 0), 1_500.0)
     slow = pace.engine(ENGINES, N2.id).token_ms
     assert slow > 2 * usual
     assert pace.engine(ENGINES, N1.id).token_ms == pytest.approx(usual, rel=0.25)
@@ -94,11 +94,11 @@
 def test_slow_engine_is_learned_from_reports_of_peers(clock):
     mine, siblings = PaceTable(), PaceTable()
     for table in (mine, siblings):
-        show_reading(table, N1.id, 50.0, 60)
+        record_prefills(table, N1.id, 50.0, 60)
     usual = mine.engine(ENGINES, N2.id).token_ms
     for _ in range(5):
         clock[0] += 200
-        shown_log = siblings.note_first_event(ENGINES, N2.id, FirstEvent(0, 2_000, 0), 180.0)
+        shown_log = siblings.note_first_event(ENGINES, N2.id, PrefillWork(0, 2_000, 0), 180.0)
         mine.note_shown(N2.id, shown_log)
     assert mine.engine(ENGINES, N2.id).token_ms > 1.5 * usual
     assert mine.engine(ENGINES, N1.id).token_ms == pytest.approx(usual, rel=0.05)
@@ -117,7 +117,7 @@
     for _ in range(80):
         unread, kept = chance.choice(((2_000, 0), (2_000, 12_000), (12_000, 0), (6_000, 9_000)))
         # 50 tokens a millisecond, also behind a prefix.
-        pace.note_first_event(ENGINES, N1.id, FirstEvent(0, unread, kept), 20 + unread / 50)
+        pace.note_first_event(ENGINES, N1.id, PrefillWork(0, unread, kept), 20 + unread / 50)
     assert pace.service(ENGINES).effort_tokens(10_000, 20_000) < 11_500
     assert PaceTable().service(ENGINES).effort_tokens(10_000, 20_000) > 16_000
 
@@ -136,7 +136,7 @@
 
 # Gaps during which an engine prefilled all the time (ms); a prefill (ms); bounds of the share of
 # streams that it makes late.
-PAUSES = [
+LATE_SHARES = [
     ("no observations, long prefill", [], 1_000.0, 0.9, 1.0),
     ("no observations, short prefill", [], 150.0, 0.0, 0.05),
     ("no prefill", [], 0.0, 0.0, 0.0),
@@ -149,7 +149,9 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "covered", "reading_ms", "least", "most"), PAUSES, ids=[row[0] for row in PAUSES]
+    ("name", "covered", "reading_ms", "least", "most"),
+    LATE_SHARES,
+    ids=[row[0] for row in LATE_SHARES],
 )
 def test_late_share_follows_observed_gaps(name, covered, reading_ms, least, most):
     pauses = PauseTable()
@@ -224,7 +226,7 @@
     return Placement(**(values | changes))
 
 
-class Watched:
+class WatchedStream:
     """A watched stream at n1, and the tables that it updates."""
 
     def __init__(self, thawed_at_ms=lambda: 0.0, **changes) -> None:
@@ -244,7 +246,7 @@
 
 # Times of a stream's events (ms); when another prompt is sent to the engine (ms), its tokens, and
 # the tokens queued before it; the recorded calls. By the initial estimate 1,000 tokens take 20 ms.
-EPISODES = [
+GAP_CASES = [
     ("no prefill", (100, 200, 300), None, 0, 0, []),
     ("short prefill", (100, 200, 300, 400), 150, 500, 0, [("quiet", 100), ("late", False)]),
     (
@@ -275,17 +277,17 @@
 ]
 
 
-@pytest.mark.parametrize("row", EPISODES, ids=[row[0] for row in EPISODES])
+@pytest.mark.parametrize("row", GAP_CASES, ids=[row[0] for row in GAP_CASES])
 def test_stream_records_its_gaps_during_prefill(clock, monkeypatch, row):
-    _, events, reading_at, tokens, before, noted = row
+    _, events, prefill_at, tokens, before, noted = row
     monkeypatch.setattr(PaceTable, "note_first_event", lambda *_: None)
-    stream = Watched()
+    stream = WatchedStream()
     given = False
     for at in events:
-        if reading_at is not None and not given and reading_at < at:
+        if prefill_at is not None and not given and prefill_at < at:
             if before:
                 stream.loads.reserve(N1, before, before)
-            clock[0] = 1_000 + reading_at
+            clock[0] = 1_000 + prefill_at
             stream.loads.reserve(N1, tokens, tokens)
             given = True
         clock[0] = 1_000 + at
@@ -293,16 +295,16 @@
     assert stream.noted == noted
 
 
-UNTOLD = [
+UNMEASURED = [
     ("through a peer", {"peer": object()}),
     ("waiting for a slot", {"waits": True}),
     ("with a fetched prefix", {"source": N2}),
 ]
 
 
-@pytest.mark.parametrize(("name", "changes"), UNTOLD, ids=[row[0] for row in UNTOLD])
+@pytest.mark.parametrize(("name", "changes"), UNMEASURED, ids=[row[0] for row in UNMEASURED])
 def test_first_event_is_not_used_for_pace(clock, name, changes):
-    stream = Watched(**changes)
+    stream = WatchedStream(**changes)
     clock[0] += 3_000
     stream.watch.note_event()
     assert stream.pace.engine(ENGINES, N1.id) == PaceTable().engine(ENGINES, N1.id)
@@ -324,7 +326,7 @@
     learned = []
     for name in ("note_first_event", "note_answer", "note_output"):
         monkeypatch.setattr(PaceTable, name, lambda *_, name=name: learned.append((clock[0], name)))
-    stream = Watched(lambda: 1_000 + thawed if clock[0] >= 1_000 + thawed else 0.0)
+    stream = WatchedStream(lambda: 1_000 + thawed if clock[0] >= 1_000 + thawed else 0.0)
     for at in events:
         if at > 100:
             stream.loads.reserve(N1, 500, 500)
@@ -337,7 +339,7 @@
 
 def test_learned_values_can_be_logged():
     pace, pauses = PaceTable(), PauseTable()
-    pace.note_first_event(ENGINES, N1.id, FirstEvent(0, 2_000, 0), 60.0)
+    pace.note_first_event(ENGINES, N1.id, PrefillWork(0, 2_000, 0), 60.0)
     pauses.note_covered(ENGINES, PAUSE_MS, 120.0)
     logged = json.loads(json.dumps([pace.learned(), pauses.learned()]))
     assert len(logged[0][ENGINES]) == 3
--- a/sparline/placement/tests/test_server_limits.py
+++ b/sparline/placement/tests/test_server_limits.py
@@ -74,9 +74,9 @@
 def test_limit_that_no_answer_repeats_is_forgotten(clock):
     limits = ServerLimitTable()
     limits.note_answer(S1, 1.8)
-    clock[0] += _server_limits.KEPT_MS - 1
+    clock[0] += _server_limits.LIMIT_TTL_MS - 1
     limits.forget_old()
-    assert limits.notes() == [note(1.8, round(_server_limits.KEPT_MS) - 1)]
+    assert limits.notes() == [note(1.8, round(_server_limits.LIMIT_TTL_MS) - 1)]
     clock[0] += 2
     limits.forget_old()
     assert limits.notes() == []
@@ -88,7 +88,7 @@
     first, second = ServerLimitTable(), ServerLimitTable()
     first.note_answer(S1, 1.8)
     start_ms = clock[0]
-    while clock[0] - start_ms <= _server_limits.KEPT_MS + 1_000:
+    while clock[0] - start_ms <= _server_limits.LIMIT_TTL_MS + 1_000:
         for sender, receiver in ((first, second), (second, first)):
             notes = sender.notes()
             clock[0] += delay_ms
@@ -104,7 +104,7 @@
     limits = ServerLimitTable()
     for number in range(100):
         limits.note_answer(make_server(f"s{number}").id, 1.8)
-    assert len(limits.notes()) == _server_limits.MOST_TOLD
+    assert len(limits.notes()) == _server_limits.MAX_LIMITS_PER_DATAGRAM
 
 
 RATE_PER_S = 2.0
--- a/sparline/placement/tests/test_witnesses.py
+++ b/sparline/placement/tests/test_witnesses.py
@@ -40,7 +40,7 @@
     health.note_done(S1)
 
 
-SHOWN = [
+OBSERVATIONS = [
     # events at the server, delay before the check (ms), usable
     ("no requests", lambda health: None, 0, True),
     ("some failures", fail(3), 0, True),
@@ -59,11 +59,13 @@
 
 
 @pytest.mark.parametrize(
-    ("show", "later_ms", "usable"), [row[1:] for row in SHOWN], ids=[row[0] for row in SHOWN]
+    ("observe", "later_ms", "usable"),
+    [row[1:] for row in OBSERVATIONS],
+    ids=[row[0] for row in OBSERVATIONS],
 )
-def test_usability_after_observations(clock, show, later_ms, usable):
+def test_usability_after_observations(clock, observe, later_ms, usable):
     health = HealthTable()
-    show(health)
+    observe(health)
     clock.now += later_ms
     assert health.usable(S1) is usable
 
@@ -76,7 +78,7 @@
     assert health.usable(S1)
 
 
-def place(health: HealthTable) -> None:
+def send_probe(health: HealthTable) -> None:
     health.note_placed(S1)
 
 
@@ -88,23 +90,23 @@
     health.note_event(S1)
 
 
-TRIALS = [
+PROBES = [
     # events after the server was skipped, delay before the check (ms), usable
     ("no request yet", [], 0, True),
-    ("one probe pending", [place], 0, False),
-    ("one probe answered", [place, receive_event], 0, True),
-    ("one probe failed: skipped twice as long", [place, fail_to_reach], 900, False),
-    ("one probe failed, later", [place, fail_to_reach], 1_100, True),
+    ("one probe pending", [send_probe], 0, False),
+    ("one probe answered", [send_probe, receive_event], 0, True),
+    ("one probe failed: skipped twice as long", [send_probe, fail_to_reach], 900, False),
+    ("one probe failed, later", [send_probe, fail_to_reach], 1_100, True),
 ]
 
 
 @pytest.mark.parametrize(
-    ("steps", "later_ms", "usable"), [row[1:] for row in TRIALS], ids=[row[0] for row in TRIALS]
+    ("steps", "later_ms", "usable"), [row[1:] for row in PROBES], ids=[row[0] for row in PROBES]
 )
 def test_skipped_server_is_probed_by_one_request(clock, steps, later_ms, usable):
     health = HealthTable()
     health.note_unreachable(S1)
-    clock.now += _health.PASS_OVER_FIRST_MS
+    clock.now += _health.MIN_SKIP_MS
     for step in steps:
         step(health)
     clock.now += later_ms
@@ -171,17 +173,19 @@
     assert changes == [LoadOf(1, 100, 40), LoadOf(0, 0, -40), LoadOf(-1, -100, 0)]
 
 
-TOLD = [
+REPORTED = [
     ("more than own load", LoadOf(3, 300, 5), LoadOf(3, 300, 40)),
     ("less than own load, not reported yet", LoadOf(), LoadOf(1, 100, 40)),
     ("no report", None, LoadOf(1, 100, 40)),
 ]
 
 
-@pytest.mark.parametrize(("told", "load"), [row[1:] for row in TOLD], ids=[row[0] for row in TOLD])
+@pytest.mark.parametrize(
+    ("reported", "load"), [row[1:] for row in REPORTED], ids=[row[0] for row in REPORTED]
+)
 @pytest.mark.parametrize("region", ["north", "south"])
-def test_load_is_maximum_of_reported_and_own(told, load, region):
-    loads = LoadTable(RegionName("north"), lambda _one: told, lambda _one, _load, _shown: None)
+def test_load_is_maximum_of_reported_and_own(reported, load, region):
+    loads = LoadTable(RegionName("north"), lambda _one: reported, lambda _one, _load, _shown: None)
     server = make_server("s1", region)
     loads.reserve(server, 100, 40)
     assert loads.of(server) == load
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -180,7 +180,7 @@
         )
         quotas = QuotaExchange(members, Allowance(self.quota_bounds, self.chance), self.quota_terms)
         server_limits = ServerLimitTable()
-        server_limits._chance = random.Random(ip)
+        server_limits._rng = random.Random(ip)
         sources = GossipSources(
             recent_reads=list,
             take_reads=lambda _reads: None,
--- a/sparline/tests/test_clock.py
+++ b/sparline/tests/test_clock.py
@@ -104,5 +104,5 @@
     for _ in range(4):
         machine.awake_s += 0.4
         watch.tick()
-    assert machine.awake_s * 1000 > _health.DARK_MS
+    assert machine.awake_s * 1000 > _health.UNRESPONSIVE_MS
     assert health.is_dark(SERVER)
