--- a/sparline/decisions/__init__.py
+++ b/sparline/decisions/__init__.py
@@ -5,13 +5,13 @@
 
 from sparline.decisions._admission import AdmissionFacts, RefusedFor, why_refused
 from sparline.decisions._region_refusals import RegionRefusals
-from sparline.decisions._return_time import ReturnFacts, return_after_ms, unserved_wait_ms
+from sparline.decisions._return_time import RefusalFacts, return_after_ms, unserved_wait_ms
 
 __all__ = [
     "AdmissionFacts",
     "RefusedFor",
     "RegionRefusals",
-    "ReturnFacts",
+    "RefusalFacts",
     "return_after_ms",
     "unserved_wait_ms",
     "why_refused",
--- a/sparline/decisions/_return_time.py
+++ b/sparline/decisions/_return_time.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReturnFacts:
+class RefusalFacts:
     """Facts about a request that is rejected because of load."""
 
     wanted_ms: float  # target time to the first event or answer
@@ -26,7 +26,7 @@
     left_ms: float  # time until the caller gives up
 
 
-def return_after_ms(facts: ReturnFacts) -> float:
+def return_after_ms(facts: RefusalFacts) -> float:
     """Return the Retry-After of a request that is rejected because of load."""
     late_ms = facts.expected_ms - facts.wanted_ms
     return min(max(late_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
--- a/sparline/placement/_choice.py
+++ b/sparline/placement/_choice.py
@@ -8,8 +8,8 @@
 from sparline._ids import BackendServerId
 from sparline.decisions import (
     AdmissionFacts,
+    RefusalFacts,
     RegionRefusals,
-    ReturnFacts,
     return_after_ms,
     unserved_wait_ms,
     why_refused,
@@ -197,7 +197,7 @@
         if why is None:
             return None
         wait_ms = return_after_ms(
-            ReturnFacts(request.route.wanted_latency_ms, best.expected_ms, request.left_ms())
+            RefusalFacts(request.route.wanted_latency_ms, best.expected_ms, request.left_ms())
         )
         return Refusal(Reason.DEADLINE_UNREACHABLE, wait_ms, candidates, best, why)
 
