--- a/sparline/decisions/__init__.py
+++ b/sparline/decisions/__init__.py
@@ -5,14 +5,14 @@
 
 from sparline.decisions._admission import AdmissionFacts, RefusedFor, why_refused
 from sparline.decisions._region_refusals import RegionRefusals
-from sparline.decisions._return_time import RefusalFacts, return_after_ms, unserved_wait_ms
+from sparline.decisions._return_time import RefusalFacts, refusal_retry_after_ms, unserved_wait_ms
 
 __all__ = [
     "AdmissionFacts",
     "RefusedFor",
     "RegionRefusals",
     "RefusalFacts",
-    "return_after_ms",
+    "refusal_retry_after_ms",
     "unserved_wait_ms",
     "why_refused",
 ]
--- a/sparline/decisions/_return_time.py
+++ b/sparline/decisions/_return_time.py
@@ -26,7 +26,7 @@
     left_ms: float  # time until the caller gives up
 
 
-def return_after_ms(facts: RefusalFacts) -> float:
+def refusal_retry_after_ms(facts: RefusalFacts) -> float:
     """Return the Retry-After of a request that is rejected because of load."""
     late_ms = facts.expected_ms - facts.wanted_ms
     return min(max(late_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
--- a/sparline/decisions/tests/test_decisions.py
+++ b/sparline/decisions/tests/test_decisions.py
@@ -8,7 +8,7 @@
     RefusalFacts,
     RefusedFor,
     RegionRefusals,
-    return_after_ms,
+    refusal_retry_after_ms,
     unserved_wait_ms,
     why_refused,
 )
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize(("expected_ms", "after_ms"), RETURNS)
 def test_retry_after_follows_expected_lateness(expected_ms, after_ms):
-    assert return_after_ms(RefusalFacts(800.0, expected_ms, 4_000.0)) == after_ms
+    assert refusal_retry_after_ms(RefusalFacts(800.0, expected_ms, 4_000.0)) == after_ms
 
 
 @pytest.mark.parametrize(("left_ms", "after_ms"), [(300, 500), (3_000, 1_000), (60_000, 5_000)])
--- a/sparline/placement/_choice.py
+++ b/sparline/placement/_choice.py
@@ -10,7 +10,7 @@
     AdmissionFacts,
     RefusalFacts,
     RegionRefusals,
-    return_after_ms,
+    refusal_retry_after_ms,
     unserved_wait_ms,
     why_refused,
 )
@@ -196,7 +196,7 @@
         )
         if why is None:
             return None
-        wait_ms = return_after_ms(
+        wait_ms = refusal_retry_after_ms(
             RefusalFacts(request.route.wanted_latency_ms, best.expected_ms, request.left_ms())
         )
         return Refusal(Reason.DEADLINE_UNREACHABLE, wait_ms, candidates, best, why)
