--- a/sparline/decisions/__init__.py
+++ b/sparline/decisions/__init__.py
@@ -3,13 +3,13 @@
 Nothing here reads a clock, a socket or a table; the caller passes the facts and the time in.
 """
 
-from sparline.decisions._admission import AdmissionFacts, RefusedFor, why_refused
+from sparline.decisions._admission import AdmissionFacts, RefusalReason, why_refused
 from sparline.decisions._region_refusals import RegionRefusals
 from sparline.decisions._return_time import RefusalFacts, refusal_retry_after_ms, unserved_wait_ms
 
 __all__ = [
     "AdmissionFacts",
-    "RefusedFor",
+    "RefusalReason",
     "RegionRefusals",
     "RefusalFacts",
     "refusal_retry_after_ms",
--- a/sparline/decisions/_admission.py
+++ b/sparline/decisions/_admission.py
@@ -24,7 +24,7 @@
 LONG_PREFILL_RATIO = 0.55
 
 
-class RefusedFor(Enum):
+class RefusalReason(Enum):
     """Reason for rejecting a request at admission."""
 
     LATE = "late"  # it would be answered too late
@@ -45,7 +45,7 @@
     is_relayed: bool  # whether another instance relayed the request
 
 
-def why_refused(facts: AdmissionFacts) -> RefusedFor | None:
+def why_refused(facts: AdmissionFacts) -> RefusalReason | None:
     """Return why a request is rejected, None if it is accepted.
 
     An idle server accepts anything, because no other request is delayed.
@@ -60,9 +60,9 @@
         loss -= (facts.reading_ms / facts.wanted_ms) ** 2
     max_ratio = MAX_RELAYED_LATENESS_RATIO if facts.is_relayed else MAX_LATENESS_RATIO
     if expected_ms > max_ratio * facts.wanted_ms:
-        return RefusedFor.LATE
+        return RefusalReason.LATE
     if loss > MAX_LOSS:
-        return RefusedFor.COSTLY
+        return RefusalReason.COSTLY
     if facts.expected_ms > facts.left_ms:
-        return RefusedFor.OVER_DEADLINE
+        return RefusalReason.OVER_DEADLINE
     return None
--- a/sparline/decisions/tests/test_decisions.py
+++ b/sparline/decisions/tests/test_decisions.py
@@ -6,7 +6,7 @@
 from sparline.decisions import (
     AdmissionFacts,
     RefusalFacts,
-    RefusedFor,
+    RefusalReason,
     RegionRefusals,
     refusal_retry_after_ms,
     unserved_wait_ms,
@@ -16,7 +16,7 @@
 from sparline.routes import ServiceName
 
 SOUTH, ENGINES = RegionName("south"), ServiceName("engines")
-LATE, COSTLY, OVER = RefusedFor.LATE, RefusedFor.COSTLY, RefusedFor.OVER_DEADLINE
+LATE, COSTLY, OVER = RefusalReason.LATE, RefusalReason.COSTLY, RefusalReason.OVER_DEADLINE
 
 
 def facts(**changes) -> AdmissionFacts:
--- a/sparline/placement/_placement.py
+++ b/sparline/placement/_placement.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from sparline.decisions import RefusedFor
+from sparline.decisions import RefusalReason
 from sparline.fleet import BackendServer, LoadOf, Member
 from sparline.requests import Reason
 
@@ -41,4 +41,4 @@
     retry_after_ms: float  # Retry-After
     candidates: int  # number of backend servers considered
     best: Placement | None = None  # placement with the lowest loss, None without any
-    why: RefusedFor | None = None  # why that placement was rejected
+    why: RefusalReason | None = None  # why that placement was rejected
