--- a/sparline/decisions/__init__.py
+++ b/sparline/decisions/__init__.py
@@ -3,7 +3,7 @@
 Nothing here reads a clock, a socket or a table; the caller passes the facts and the time in.
 """
 
-from sparline.decisions._admission import AdmissionFacts, RefusalReason, why_refused
+from sparline.decisions._admission import AdmissionFacts, RefusalReason, refusal_reason
 from sparline.decisions._region_refusals import RegionRefusals
 from sparline.decisions._return_time import RefusalFacts, refusal_retry_after_ms, unserved_wait_ms
 
@@ -14,5 +14,5 @@
     "RefusalFacts",
     "refusal_retry_after_ms",
     "unserved_wait_ms",
-    "why_refused",
+    "refusal_reason",
 ]
--- a/sparline/decisions/_admission.py
+++ b/sparline/decisions/_admission.py
@@ -45,7 +45,7 @@
     is_relayed: bool  # whether another instance relayed the request
 
 
-def why_refused(facts: AdmissionFacts) -> RefusalReason | None:
+def refusal_reason(facts: AdmissionFacts) -> RefusalReason | None:
     """Return why a request is rejected, None if it is accepted.
 
     An idle server accepts anything, because no other request is delayed.
--- a/sparline/decisions/tests/test_decisions.py
+++ b/sparline/decisions/tests/test_decisions.py
@@ -8,9 +8,9 @@
     RefusalFacts,
     RefusalReason,
     RegionRefusals,
+    refusal_reason,
     refusal_retry_after_ms,
     unserved_wait_ms,
-    why_refused,
 )
 from sparline.decisions._region_refusals import MAX_SHORT_TOKENS, REFUSAL_TTL_MS
 from sparline.routes import ServiceName
@@ -53,7 +53,7 @@
     ("changes", "why"), [row[1:] for row in ADMISSION], ids=[row[0] for row in ADMISSION]
 )
 def test_admission_decision(changes, why):
-    assert why_refused(facts(**changes)) is why
+    assert refusal_reason(facts(**changes)) is why
 
 
 RETURNS = [(1_000.0, 200.0), (900.0, 150.0), (500.0, 150.0), (9_000.0, 1_500.0)]
--- a/sparline/placement/_choice.py
+++ b/sparline/placement/_choice.py
@@ -10,9 +10,9 @@
     AdmissionFacts,
     RefusalFacts,
     RegionRefusals,
+    refusal_reason,
     refusal_retry_after_ms,
     unserved_wait_ms,
-    why_refused,
 )
 from sparline.fleet import BackendServer
 from sparline.placement._credit import credit_of
@@ -183,7 +183,7 @@
 
     def _refusal(self, request: RoutedRequest, best: Placement, candidates: int) -> Refusal | None:
         """Return a refusal for a request that would be too late or cost others too much."""
-        why = why_refused(
+        why = refusal_reason(
             AdmissionFacts(
                 wanted_ms=request.route.wanted_latency_ms,
                 left_ms=request.left_ms(),
