--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -42,9 +42,9 @@
     CreditTable,
     DemandTable,
     HealthTable,
+    InstanceLocation,
     LimitShares,
     LoadTable,
-    OwnPlace,
     PaceTable,
     PauseTable,
     Placement,
@@ -89,7 +89,7 @@
 Table = TypeVar("Table")
 
 
-MakeChooser = Callable[[OwnPlace, PlacementTables, random.Random], Chooser]
+MakeChooser = Callable[[InstanceLocation, PlacementTables, random.Random], Chooser]
 
 
 @dataclass(slots=True)
@@ -244,7 +244,7 @@
             is_doubted_there=self.exchange.board.is_doubted,
         )
         chance = random.Random(f"{world.draw.seed}/{ip}")
-        self._chooser = make(OwnPlace(RegionName(region), ZoneName(zone)), tables, chance)
+        self._chooser = make(InstanceLocation(RegionName(region), ZoneName(zone)), tables, chance)
 
     def _note_shown(self, server_id: BackendServerId, shown_log: float) -> None:
         # A table that all share has learned of it already.
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -56,9 +56,9 @@
     CreditTable,
     DemandTable,
     HealthTable,
+    InstanceLocation,
     LimitShares,
     LoadTable,
-    OwnPlace,
     PaceTable,
     PauseTable,
     PlacementTables,
@@ -235,7 +235,7 @@
             load_age_ms=board.age_ms,
             is_doubted_there=board.is_doubted,
         )
-        place = OwnPlace(region, ZoneName(self.settings.availability_zone))
+        place = InstanceLocation(region, ZoneName(self.settings.availability_zone))
         self.chooser = Chooser(place, tables, random.Random())
         retries = self.settings.retries
         rule = RetryRule(retries.ratio, retries.slack, retries.window_s * 1000)
--- a/sparline/placement/__init__.py
+++ b/sparline/placement/__init__.py
@@ -9,7 +9,7 @@
 from sparline.placement._loads import LoadTable, Reservation
 from sparline.placement._pace import PaceTable
 from sparline.placement._pauses import PauseTable
-from sparline.placement._place_judge import OwnPlace, PlacementTables
+from sparline.placement._place_judge import InstanceLocation, PlacementTables
 from sparline.placement._placement import Doubt, Placement, Refusal
 from sparline.placement._prompt_cache import PromptCache, owner_of
 from sparline.placement._rate_shares import RateShares
@@ -27,7 +27,7 @@
     "LimitShares",
     "LoadTable",
     "PaceTable",
-    "OwnPlace",
+    "InstanceLocation",
     "PauseTable",
     "Placement",
     "PlacementTables",
--- a/sparline/placement/_choice.py
+++ b/sparline/placement/_choice.py
@@ -17,7 +17,12 @@
 from sparline.fleet import BackendServer
 from sparline.placement._credit import credit_of
 from sparline.placement._kept_prompt import find_cached_prefix
-from sparline.placement._place_judge import CommonFacts, LossEstimator, OwnPlace, PlacementTables
+from sparline.placement._place_judge import (
+    CommonFacts,
+    InstanceLocation,
+    LossEstimator,
+    PlacementTables,
+)
 from sparline.placement._placement import Placement, Refusal
 from sparline.placement._shortlist import Shortlist
 from sparline.requests import Origin, Reason, RoutedRequest
@@ -31,7 +36,9 @@
 class Chooser:
     """Chooses a server for each request."""
 
-    def __init__(self, place: OwnPlace, tables: PlacementTables, rng: random.Random) -> None:
+    def __init__(
+        self, place: InstanceLocation, tables: PlacementTables, rng: random.Random
+    ) -> None:
         """Choose for the callers of an instance at a given place."""
         self._region = place.region
         self._tables = tables
--- a/sparline/placement/_place_judge.py
+++ b/sparline/placement/_place_judge.py
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnPlace:
+class InstanceLocation:
     """Region and availability zone of this instance."""
 
     region: RegionName  # region of its availability zone
@@ -125,7 +125,9 @@
 class LossEstimator:
     """Estimates the loss of requests of one region at a server."""
 
-    def __init__(self, place: OwnPlace, tables: PlacementTables, rng: random.Random) -> None:
+    def __init__(
+        self, place: InstanceLocation, tables: PlacementTables, rng: random.Random
+    ) -> None:
         """Estimate from the tables of one instance."""
         self._place = place
         self._tables = tables
--- a/sparline/placement/tests/test_choice.py
+++ b/sparline/placement/tests/test_choice.py
@@ -14,9 +14,9 @@
     CreditTable,
     DemandTable,
     HealthTable,
+    InstanceLocation,
     LimitShares,
     LoadTable,
-    OwnPlace,
     PaceTable,
     PauseTable,
     Placement,
@@ -34,7 +34,7 @@
 from sparline.tests.routed import ENGINES, PLAIN, make_request, make_route, make_rules, make_server
 
 NORTH, SOUTH = RegionName("north"), RegionName("south")
-PLACE = OwnPlace(NORTH, ZoneName("north-1"))
+PLACE = InstanceLocation(NORTH, ZoneName("north-1"))
 ZONES = {ZoneName("north-1"): NORTH, ZoneName("south-1"): SOUTH}
 N1, N2, N3 = make_server("n1"), make_server("n2"), make_server("n3")
 S1 = make_server("s1", "south")
