--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -41,12 +41,12 @@
     ColdShares,
     CreditTable,
     DemandTable,
+    GapTable,
     HealthTable,
     InstanceLocation,
     LimitShares,
     LoadTable,
     PaceTable,
-    PauseTable,
     Placement,
     PlacementTables,
     PromptCache,
@@ -223,7 +223,7 @@
         )
         self.port._chance = random.Random(f"gossip/{world.draw.seed}/{ip}")
         self._pace = world.table(region, Known.PACES, PaceTable)
-        pauses = world.table(region, Known.PAUSES, PauseTable)
+        pauses = world.table(region, Known.PAUSES, GapTable)
         asks = 1 if Known.DEMAND in world.known else instances
         self._watch_tables = WatchTables(self._pace, pauses, self.loads)
         tables = PlacementTables(
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -55,12 +55,12 @@
     ColdShares,
     CreditTable,
     DemandTable,
+    GapTable,
     HealthTable,
     InstanceLocation,
     LimitShares,
     LoadTable,
     PaceTable,
-    PauseTable,
     PlacementTables,
     PromptCache,
     RateShares,
@@ -208,7 +208,7 @@
             sharing=lambda: len(self.members.live(region)) + 1,
         )
         self.pace = PaceTable()
-        self.pauses = PauseTable()
+        self.pauses = GapTable()
 
         def sharers() -> list[str]:
             return self.members.sharers(region)
--- a/sparline/placement/__init__.py
+++ b/sparline/placement/__init__.py
@@ -8,7 +8,7 @@
 from sparline.placement._limit_shares import LimitShares
 from sparline.placement._loads import LoadTable, Reservation
 from sparline.placement._pace import PaceTable
-from sparline.placement._pauses import PauseTable
+from sparline.placement._pauses import GapTable
 from sparline.placement._place_judge import InstanceLocation, PlacementTables
 from sparline.placement._placement import Doubt, Placement, Refusal
 from sparline.placement._prompt_cache import PromptCache, owner_of
@@ -28,7 +28,7 @@
     "LoadTable",
     "PaceTable",
     "InstanceLocation",
-    "PauseTable",
+    "GapTable",
     "Placement",
     "PlacementTables",
     "PromptCache",
--- a/sparline/placement/_pauses.py
+++ b/sparline/placement/_pauses.py
@@ -45,7 +45,7 @@
     shares: list[float] | None = None  # cached share of late gaps by bin, None after a change
 
 
-class PauseTable:
+class GapTable:
     """Learns which prefills make the gaps between the events of running streams too long."""
 
     def __init__(self) -> None:
--- a/sparline/placement/_place_judge.py
+++ b/sparline/placement/_place_judge.py
@@ -14,7 +14,7 @@
 from sparline.placement._limit_shares import LimitShares
 from sparline.placement._loads import LoadTable
 from sparline.placement._pace import EnginePace, PaceTable
-from sparline.placement._pauses import PauseTable
+from sparline.placement._pauses import GapTable
 from sparline.placement._placement import Doubt, Placement
 from sparline.placement._prompt_cache import PromptCache
 from sparline.requests import RoutedRequest
@@ -68,7 +68,7 @@
     limits: LimitShares  # request rate limits set by servers
     cache: PromptCache  # prompt prefixes cached by engines
     pace: PaceTable  # times of services and engines
-    pauses: PauseTable  # which prefills make gaps too long
+    pauses: GapTable  # which prefills make gaps too long
     credit: CreditTable  # usual credit of requests
     demand: DemandTable  # recent demand of callers
     sharing: Callable[[], int]  # number of instances whose callers share this region's engines
--- a/sparline/placement/_stream_watch.py
+++ b/sparline/placement/_stream_watch.py
@@ -6,7 +6,7 @@
 from sparline._clock import now_ms
 from sparline.placement._loads import LoadTable, Reservation
 from sparline.placement._pace import PaceTable, PrefillWork
-from sparline.placement._pauses import PauseTable
+from sparline.placement._pauses import GapTable
 from sparline.placement._placement import Placement
 from sparline.requests import RoutedRequest
 
@@ -19,7 +19,7 @@
     """Tables that streams update, and the loads that explain their gaps."""
 
     pace: PaceTable  # times of services and engines
-    pauses: PauseTable  # which prefills make gaps too long
+    pauses: GapTable  # which prefills make gaps too long
     loads: LoadTable  # load of backend servers
     thawed_at_ms: Callable[[], float] = lambda: 0.0  # when this process last resumed
 
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -11,9 +11,9 @@
 from sparline.placement import (
     CreditTable,
     Doubt,
+    GapTable,
     LoadTable,
     PaceTable,
-    PauseTable,
     Placement,
     StreamWatch,
     WatchTables,
@@ -154,7 +154,7 @@
     ids=[row[0] for row in LATE_SHARES],
 )
 def test_late_share_follows_observed_gaps(name, covered, reading_ms, least, most):
-    pauses = PauseTable()
+    pauses = GapTable()
     for _ in range(100):
         pauses.note_quiet(ENGINES, PAUSE_MS, 20.0, 50.0)
     for pause_ms in covered * (1 if len(covered) > 1 else 100):
@@ -163,7 +163,7 @@
 
 
 def test_late_share_does_not_fall_with_prefill_length():
-    pauses = PauseTable()
+    pauses = GapTable()
     pauses.note_covered(ENGINES, PAUSE_MS, 390.0)
     shares = [pauses.late_share(ENGINES, PAUSE_MS, 50.0 * step) for step in range(30)]
     assert shares == sorted(shares)
@@ -183,7 +183,7 @@
     ("name", "seen", "least", "most"), OUTCOMES, ids=[row[0] for row in OUTCOMES]
 )
 def test_outcomes_outweigh_prediction_from_gap_lengths(name, seen, least, most):
-    pauses = PauseTable()
+    pauses = GapTable()
     for reading_ms, late in seen:
         for number in range(100):
             pauses.note_outcome(ENGINES, PAUSE_MS, 10.0, False)
@@ -192,7 +192,7 @@
 
 
 def test_long_gaps_without_prefill_are_not_blamed_on_prefill():
-    pauses = PauseTable()
+    pauses = GapTable()
     for _ in range(100):
         pauses.note_quiet(ENGINES, PAUSE_MS, 20.0, 390.0)
     assert pauses.late_share(ENGINES, PAUSE_MS, 0.0) == 0.0
@@ -231,7 +231,7 @@
 
     def __init__(self, thawed_at_ms=lambda: 0.0, **changes) -> None:
         self.loads = LoadTable(NORTH, lambda _one: None, lambda _one, _load, _shown: None)
-        self.pauses = PauseTable()
+        self.pauses = GapTable()
         self.pace = PaceTable()
         reservation = self.loads.reserve(N1, 450, 400)
         request = make_request(make_route(pause_target_ms=PAUSE_MS))
@@ -338,7 +338,7 @@
 
 
 def test_learned_values_can_be_logged():
-    pace, pauses = PaceTable(), PauseTable()
+    pace, pauses = PaceTable(), GapTable()
     pace.note_first_event(ENGINES, N1.id, PrefillWork(0, 2_000, 0), 60.0)
     pauses.note_covered(ENGINES, PAUSE_MS, 120.0)
     logged = json.loads(json.dumps([pace.learned(), pauses.learned()]))
