--- a/sparline/gateway/_request_log.py
+++ b/sparline/gateway/_request_log.py
@@ -7,7 +7,7 @@
 from sparline.forwarding import AttemptEnd, RequestEnd, SentEnd
 from sparline.gateway._log_output import LineBudget
 from sparline.gateway._metrics import GatewayMetrics
-from sparline.placement import ColdUse, Placement, Refusal, ServerLimit
+from sparline.placement import ColdRequest, Placement, Refusal, ServerLimit
 from sparline.quarantine import MOST_ENDS, CrashChange, EndSign, RequestDigest, logged
 from sparline.requests import Prompt, Reason, RoutedRequest
 
@@ -85,7 +85,7 @@
         if self._crashes.take():
             log.bind(content=logged(digest), ends=ends).warning("suspect_pushed_out")
 
-    def note_cold_use(self, use: ColdUse) -> None:
+    def note_cold_use(self, use: ColdRequest) -> None:
         """Note that a request goes to a cold server, whose rate is shared out."""
         self._metrics.cold_sends.inc()
         if self._other.take():
--- a/sparline/placement/__init__.py
+++ b/sparline/placement/__init__.py
@@ -1,7 +1,7 @@
 """Placement of requests: server load, health, prompt caches and the choice of a backend server."""
 
 from sparline.placement._choice import Chooser
-from sparline.placement._cold_shares import ColdShares, ColdUse
+from sparline.placement._cold_shares import ColdRequest, ColdShares
 from sparline.placement._credit import CreditTable
 from sparline.placement._demand import DemandTable
 from sparline.placement._health import HealthTable
@@ -19,7 +19,7 @@
 __all__ = [
     "Chooser",
     "ColdShares",
-    "ColdUse",
+    "ColdRequest",
     "CreditTable",
     "DemandTable",
     "Doubt",
--- a/sparline/placement/_cold_shares.py
+++ b/sparline/placement/_cold_shares.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdUse:
+class ColdRequest:
     """Request to a cold server, with the facts behind the decision."""
 
     server_id: BackendServerId  # the server
@@ -27,7 +27,7 @@
         own_ip: str,
         sharers: Sharers,
         is_settled: IsSettled = lambda: True,
-        on_use: Callable[[ColdUse], None] = lambda _use: None,
+        on_use: Callable[[ColdRequest], None] = lambda _use: None,
     ) -> None:
         """Share with the instances of this region.
 
@@ -49,4 +49,4 @@
             self._shares.forget(server.id)
             return
         sharers, pause_ms = self._shares.note_sent(server.id, rate_per_s)
-        self._on_use(ColdUse(server.id, server.cold_until_ms - now_ms(), sharers, pause_ms))
+        self._on_use(ColdRequest(server.id, server.cold_until_ms - now_ms(), sharers, pause_ms))
