--- a/sparline/placement/_pauses.py
+++ b/sparline/placement/_pauses.py
@@ -52,7 +52,7 @@
         """Start without observations."""
         self._stats: dict[tuple[ServiceName, float], _GapStats] = {}
 
-    def note_quiet(
+    def note_base_gap(
         self, service: ServiceName, target_ms: float, prefill_ms: float, gap_ms: float
     ) -> None:
         """Record a gap in which a prefill began; one with a short prefill counts as without."""
--- a/sparline/placement/_stream_watch.py
+++ b/sparline/placement/_stream_watch.py
@@ -116,7 +116,7 @@
             pauses.note_outcome(service, target_ms, self._gap_prefill.queue_ms, is_late)
         self._gap_prefill = self._prefill_during(gap_ms)
         if self._gap_prefill is not None and self._gap_prefill.is_alone:
-            pauses.note_quiet(service, target_ms, self._gap_prefill.queue_ms, gap_ms)
+            pauses.note_base_gap(service, target_ms, self._gap_prefill.queue_ms, gap_ms)
 
     def _prefill_during(self, gap_ms: float) -> _GapPrefill | None:
         """Return the prefill that this instance sent during the gap, None without one."""
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -156,7 +156,7 @@
 def test_late_share_follows_observed_gaps(name, covered, reading_ms, least, most):
     pauses = GapTable()
     for _ in range(100):
-        pauses.note_quiet(ENGINES, PAUSE_MS, 20.0, 50.0)
+        pauses.note_base_gap(ENGINES, PAUSE_MS, 20.0, 50.0)
     for pause_ms in covered * (1 if len(covered) > 1 else 100):
         pauses.note_covered(ENGINES, PAUSE_MS, pause_ms)
     assert least <= pauses.late_share(ENGINES, PAUSE_MS, reading_ms) <= most
@@ -194,7 +194,7 @@
 def test_long_gaps_without_prefill_are_not_blamed_on_prefill():
     pauses = GapTable()
     for _ in range(100):
-        pauses.note_quiet(ENGINES, PAUSE_MS, 20.0, 390.0)
+        pauses.note_base_gap(ENGINES, PAUSE_MS, 20.0, 390.0)
     assert pauses.late_share(ENGINES, PAUSE_MS, 0.0) == 0.0
     assert pauses.late_share(ENGINES, PAUSE_MS, 400.0) < 0.2
 
@@ -239,7 +239,7 @@
         self.watch = StreamWatch(tables, request, make_placement(**changes), reservation)
 
         self.noted: list[tuple[str, int]] = []
-        self.pauses.note_quiet = lambda _s, _w, _r, pause: self.noted.append(("quiet", pause))
+        self.pauses.note_base_gap = lambda _s, _w, _r, pause: self.noted.append(("quiet", pause))
         self.pauses.note_covered = lambda _s, _w, pause: self.noted.append(("covered", pause))
         self.pauses.note_outcome = lambda _s, _w, _r, late: self.noted.append(("late", late))
 
