--- a/sparline/placement/_pauses.py
+++ b/sparline/placement/_pauses.py
@@ -65,7 +65,9 @@
         stats.base_ms += WEIGHT * (gap_ms - stats.base_ms)
         stats.shares = None
 
-    def note_covered(self, service: ServiceName, target_ms: float, gap_ms: float) -> None:
+    def note_gap_during_prefill(
+        self, service: ServiceName, target_ms: float, gap_ms: float
+    ) -> None:
         """Record a gap during which an engine prefilled all the time.
 
         It shows how much prefill a gap can hold at most, because an event takes a fixed number of
--- a/sparline/placement/_stream_watch.py
+++ b/sparline/placement/_stream_watch.py
@@ -111,7 +111,7 @@
         pauses = self._tables.pauses
         if self._gap_prefill is not None:
             if self._gap_prefill.busy_until_ms >= now_ms():
-                pauses.note_covered(service, target_ms, gap_ms)
+                pauses.note_gap_during_prefill(service, target_ms, gap_ms)
             is_late = max(gap_ms, self._gap_prefill.gap_ms) > target_ms
             pauses.note_outcome(service, target_ms, self._gap_prefill.queue_ms, is_late)
         self._gap_prefill = self._prefill_during(gap_ms)
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -158,13 +158,13 @@
     for _ in range(100):
         pauses.note_base_gap(ENGINES, PAUSE_MS, 20.0, 50.0)
     for pause_ms in covered * (1 if len(covered) > 1 else 100):
-        pauses.note_covered(ENGINES, PAUSE_MS, pause_ms)
+        pauses.note_gap_during_prefill(ENGINES, PAUSE_MS, pause_ms)
     assert least <= pauses.late_share(ENGINES, PAUSE_MS, reading_ms) <= most
 
 
 def test_late_share_does_not_fall_with_prefill_length():
     pauses = GapTable()
-    pauses.note_covered(ENGINES, PAUSE_MS, 390.0)
+    pauses.note_gap_during_prefill(ENGINES, PAUSE_MS, 390.0)
     shares = [pauses.late_share(ENGINES, PAUSE_MS, 50.0 * step) for step in range(30)]
     assert shares == sorted(shares)
 
@@ -240,7 +240,9 @@
 
         self.noted: list[tuple[str, int]] = []
         self.pauses.note_base_gap = lambda _s, _w, _r, pause: self.noted.append(("quiet", pause))
-        self.pauses.note_covered = lambda _s, _w, pause: self.noted.append(("covered", pause))
+        self.pauses.note_gap_during_prefill = lambda _s, _w, pause: self.noted.append(
+            ("covered", pause)
+        )
         self.pauses.note_outcome = lambda _s, _w, _r, late: self.noted.append(("late", late))
 
 
@@ -340,7 +342,7 @@
 def test_learned_values_can_be_logged():
     pace, pauses = PaceTable(), GapTable()
     pace.note_first_event(ENGINES, N1.id, PrefillWork(0, 2_000, 0), 60.0)
-    pauses.note_covered(ENGINES, PAUSE_MS, 120.0)
+    pauses.note_gap_during_prefill(ENGINES, PAUSE_MS, 120.0)
     logged = json.loads(json.dumps([pace.learned(), pauses.learned()]))
     assert len(logged[0][ENGINES]) == 3
     quiet_ms, deviation_ms, most_ms, *shares = logged[1]["engines/400"]
