--- a/sparline/placement/_choice.py
+++ b/sparline/placement/_choice.py
@@ -129,7 +129,7 @@
         for server in shortlisted:
             if server.leaving or server.zone in fleet.evacuated or server.id in excluded:
                 continue
-            if self._tables.health.is_elsewhere(server.id):
+            if self._tables.health.is_misdirected(server.id):
                 continue
             if self._tables.health.backoff_left_ms(server.id):
                 continue
--- a/sparline/placement/_health.py
+++ b/sparline/placement/_health.py
@@ -184,7 +184,7 @@
         observed = self._observations.get(server_id)
         return observed is not None and self._is_silent(observed, now_ms())
 
-    def is_elsewhere(self, server_id: BackendServerId) -> bool:
+    def is_misdirected(self, server_id: BackendServerId) -> bool:
         """Tell whether another server has the address, so that each request would be refused."""
         observed = self._observations.get(server_id)
         return observed is not None and now_ms() < observed.misdirected_until_ms
