--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -242,7 +242,7 @@
         if not self._tools.may_move(self._request, self._progress):
             return
         if self._request.route.kind is RequestKind.STREAM:
-            silent = self._tools.health.is_dark(self._server_id)
+            silent = self._tools.health.is_unresponsive(self._server_id)
         else:
             usual_ms = self._tools.pace.answer_ms(self._request.service)
             silent = waited_ms > PLAIN_PATIENCE * usual_ms
--- a/sparline/placement/_health.py
+++ b/sparline/placement/_health.py
@@ -179,7 +179,7 @@
         observed = self._observations.get(server_id)
         return observed.failing if observed else 0.0
 
-    def is_dark(self, server_id: BackendServerId) -> bool:
+    def is_unresponsive(self, server_id: BackendServerId) -> bool:
         """Tell whether a server with pending requests has sent nothing for too long."""
         observed = self._observations.get(server_id)
         return observed is not None and self._is_silent(observed, now_ms())
--- a/sparline/tests/test_clock.py
+++ b/sparline/tests/test_clock.py
@@ -98,11 +98,11 @@
     watch.tick()
     machine.suspended_s += sleep_ms / 1000
     machine.awake_s += MOMENT_MS / 1000
-    assert not health.is_dark(SERVER)
+    assert not health.is_unresponsive(SERVER)
     assert health.usable(SERVER)
     # What stays silent after that is dark.
     for _ in range(4):
         machine.awake_s += 0.4
         watch.tick()
     assert machine.awake_s * 1000 > _health.UNRESPONSIVE_MS
-    assert health.is_dark(SERVER)
+    assert health.is_unresponsive(SERVER)
