--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -203,7 +203,7 @@
 
     def _meaning(self, answer: HttpAnswer) -> AnswerMeaning:
         self._answer_began = True
-        self._tools.health.note_heard(self._server_id)
+        self._tools.health.note_received(self._server_id)
         meaning = self._wire().meaning(answer)
         if self._placement.peer is not None:
             self._tools.note_peer(self._placement.peer.note.ip, True)
--- a/sparline/placement/_health.py
+++ b/sparline/placement/_health.py
@@ -78,7 +78,7 @@
         observed = self._of(server_id)
         observed.waiting = max(observed.waiting - 1, 0)
 
-    def note_heard(self, server_id: BackendServerId) -> None:
+    def note_received(self, server_id: BackendServerId) -> None:
         """Record that a server sent something."""
         self._of(server_id).heard_at_ms = now_ms()
 
--- a/sparline/placement/tests/test_witnesses.py
+++ b/sparline/placement/tests/test_witnesses.py
@@ -74,7 +74,7 @@
     health = HealthTable()
     health.note_sent(S1)
     clock.now += 1_300
-    health.note_heard(S1)
+    health.note_received(S1)
     assert health.usable(S1)
 
 
