--- a/sparline/placement/_loads.py
+++ b/sparline/placement/_loads.py
@@ -111,7 +111,7 @@
             self._prefills[server.id] = Prefill(now_ms(), unread_tokens, queued_tokens)
         return reservation
 
-    def last_reading(self, server_id: BackendServerId) -> Prefill | None:
+    def last_prefill(self, server_id: BackendServerId) -> Prefill | None:
         """Return the latest prefill that this instance sent to a backend server."""
         return self._prefills.get(server_id)
 
--- a/sparline/placement/_stream_watch.py
+++ b/sparline/placement/_stream_watch.py
@@ -120,7 +120,7 @@
 
     def _prefill_during(self, gap_ms: float) -> _GapPrefill | None:
         """Return the prefill that this instance sent during the gap, None without one."""
-        prefill = self._tables.loads.last_reading(self._placement.server.id)
+        prefill = self._tables.loads.last_prefill(self._placement.server.id)
         if prefill is None or prefill.at_ms < self._event_at_ms:
             return None
         pace = self._tables.pace.engine(self._request.service, self._placement.server.id)
