--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -187,7 +187,7 @@
         self.exchange = LoadExchange(
             self.members,
             LoadSources(
-                lambda: self.loads.own_here(),
+                lambda: self.loads.own_in_region(),
                 lambda server_id: self.loads.own(server_id),
                 list,
                 lambda _server_id: False,
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -192,7 +192,7 @@
         self.load_exchange = LoadExchange(
             self.members,
             LoadSources(
-                lambda: self.loads.own_here(),
+                lambda: self.loads.own_in_region(),
                 lambda server_id: self.loads.own(server_id),
                 self._doubted_here,
                 self.health.is_doubted,
--- a/sparline/placement/_loads.py
+++ b/sparline/placement/_loads.py
@@ -132,7 +132,7 @@
         load = self._own.get(server_id)
         return LoadOf(load.running, load.held_tokens, load.unread_tokens) if load else LoadOf()
 
-    def own_here(self) -> dict[str, LoadOf]:
+    def own_in_region(self) -> dict[str, LoadOf]:
         """Return this instance's part of the load of each backend server of its region."""
         return {
             server_id: self.own(server_id)
--- a/sparline/placement/tests/test_witnesses.py
+++ b/sparline/placement/tests/test_witnesses.py
@@ -189,4 +189,4 @@
     server = make_server("s1", region)
     loads.reserve(server, 100, 40)
     assert loads.of(server) == load
-    assert set(loads.own_here()) == ({"s1"} if region == "north" else set())
+    assert set(loads.own_in_region()) == ({"s1"} if region == "north" else set())
