--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -213,7 +213,7 @@
             CrashExchange(CrashTable()),
             QuotaExchange(self.members, Allowance(NO_ROOM, random.Random(ip)), lambda _key: None),
             GossipSources(
-                recent_reads=self._cache.recent_reads,
+                recent_prefix_uses=self._cache.recent_prefix_uses,
                 take_reads=self._cache.take_reads,
                 server_limits=list,
                 take_server_limits=lambda _notes: None,
--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -80,7 +80,7 @@
 class GossipSources:
     """Hold what a datagram tells beside the members."""
 
-    recent_reads: Callable[[], list[PromptReadNote]]  # long starts that engines have read
+    recent_prefix_uses: Callable[[], list[PromptReadNote]]  # long starts that engines have read
     take_reads: Callable[[list[PromptReadNote]], None]  # what to do with a peer's
     server_limits: Callable[[], list[ServerLimitNote]]  # some of the known limits of servers
     take_server_limits: Callable[[list[ServerLimitNote]], None]  # merges a peer's limits
@@ -355,7 +355,7 @@
             store_revision=self._sources.store_revision(),
             store_reached=self._sources.store_reached(),
             loads=self._loads.readings_for(near),
-            reads=self._sources.recent_reads(),
+            reads=self._sources.recent_prefix_uses(),
             beats=self._beats(near),
             members=members or [],
             wants_members=wants_members,
--- a/sparline/fleet/tests/test_gossip.py
+++ b/sparline/fleet/tests/test_gossip.py
@@ -20,7 +20,7 @@
 from sparline.tests.fake_fleet import FakeFleet
 
 SOURCES = GossipSources(
-    recent_reads=list,
+    recent_prefix_uses=list,
     take_reads=lambda _reads: None,
     server_limits=list,
     take_server_limits=lambda _notes: None,
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -171,7 +171,7 @@
             CrashExchange(self.crashes),
             self.quota_exchange,
             GossipSources(
-                self.cache.recent_reads,
+                self.cache.recent_prefix_uses,
                 self.cache.take_reads,
                 self.server_limits.notes,
                 self.server_limits.take,
--- a/sparline/placement/_prompt_cache.py
+++ b/sparline/placement/_prompt_cache.py
@@ -85,7 +85,7 @@
         if prompt.shared_tokens >= MIN_FLEET_WIDE_TOKENS:
             self._record_use((_hash(prompt), server_id), now_ms())
 
-    def recent_reads(self) -> list[PromptReadNote]:
+    def recent_prefix_uses(self) -> list[PromptReadNote]:
         """Return the reports for peers, a random sample if there are many."""
         now = now_ms()
         since = now - REPORTING_MS
--- a/sparline/placement/tests/test_choice.py
+++ b/sparline/placement/tests/test_choice.py
@@ -112,7 +112,7 @@
     def reported(world: World) -> None:
         other = PromptCache(owners_have_read=False)
         other.note(LONG, server.id, 300_000)
-        world.cache.take_reads(other.recent_reads())
+        world.cache.take_reads(other.recent_prefix_uses())
 
     return reported
 
@@ -332,7 +332,7 @@
     other = PromptCache(owners_have_read=False)
     other.note(LONG, N1.id, 300_000)
     if reported:
-        cache.take_reads(other.recent_reads())
+        cache.take_reads(other.recent_prefix_uses())
     assert cache.owner_has_read(LONG) is taken
     assert cache.cached_tokens(LONG, N1.id) == (13_000 if reported else 0)
 
@@ -406,7 +406,7 @@
     for _ in range(40):
         at_ms[0] += 250
         for teller, taker in zip(caches, [*caches[1:], caches[0]], strict=True):
-            notes = teller.recent_reads()
+            notes = teller.recent_prefix_uses()
             reported.append(len(notes))
             taker.take_reads(notes)
     assert all(cache.cached_tokens(LONG, N1.id) for cache in caches)
@@ -420,10 +420,10 @@
     cache, peer = (PromptCache(owners_have_read=False) for _ in range(2))
     for _ in range(2):
         cache.note(LONG, N1.id, 300_000)
-        peer.take_reads(cache.recent_reads())
+        peer.take_reads(cache.recent_prefix_uses())
         at_ms[0] += 1_000
-    assert [note.age_ms for note in cache.recent_reads()] == [1_000]
-    assert [note.age_ms for note in peer.recent_reads()] == [1_000]
+    assert [note.age_ms for note in cache.recent_prefix_uses()] == [1_000]
+    assert [note.age_ms for note in peer.recent_prefix_uses()] == [1_000]
 
 
 def test_region_that_refused_is_skipped_for_equally_urgent_requests():
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -182,7 +182,7 @@
         server_limits = ServerLimitTable()
         server_limits._rng = random.Random(ip)
         sources = GossipSources(
-            recent_reads=list,
+            recent_prefix_uses=list,
             take_reads=lambda _reads: None,
             server_limits=server_limits.notes,
             take_server_limits=server_limits.take,
