--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -214,7 +214,7 @@
             QuotaExchange(self.members, Allowance(NO_ROOM, random.Random(ip)), lambda _key: None),
             GossipSources(
                 recent_prefix_uses=self._cache.recent_prefix_uses,
-                take_reads=self._cache.take_reads,
+                merge_prefix_uses=self._cache.merge_prefix_uses,
                 server_limits=list,
                 take_server_limits=lambda _notes: None,
                 store_revision=lambda: 1,
--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -81,7 +81,7 @@
     """Hold what a datagram tells beside the members."""
 
     recent_prefix_uses: Callable[[], list[PromptReadNote]]  # long starts that engines have read
-    take_reads: Callable[[list[PromptReadNote]], None]  # what to do with a peer's
+    merge_prefix_uses: Callable[[list[PromptReadNote]], None]  # what to do with a peer's
     server_limits: Callable[[], list[ServerLimitNote]]  # some of the known limits of servers
     take_server_limits: Callable[[list[ServerLimitNote]], None]  # merges a peer's limits
     store_revision: Callable[[], int]  # revision of the store held here
@@ -150,7 +150,7 @@
 
     def _take(self, gossip: Gossip) -> None:
         is_new = self._members.take(gossip)
-        self._sources.take_reads(gossip.reads)
+        self._sources.merge_prefix_uses(gossip.reads)
         self._loads.take_readings(gossip.loads)
         self._sources.take_server_limits(gossip.server_limits)
         self._crashes.take(gossip.crashes)
--- a/sparline/fleet/tests/test_gossip.py
+++ b/sparline/fleet/tests/test_gossip.py
@@ -21,7 +21,7 @@
 
 SOURCES = GossipSources(
     recent_prefix_uses=list,
-    take_reads=lambda _reads: None,
+    merge_prefix_uses=lambda _reads: None,
     server_limits=list,
     take_server_limits=lambda _notes: None,
     store_revision=lambda: 1,
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -172,7 +172,7 @@
             self.quota_exchange,
             GossipSources(
                 self.cache.recent_prefix_uses,
-                self.cache.take_reads,
+                self.cache.merge_prefix_uses,
                 self.server_limits.notes,
                 self.server_limits.take,
                 lambda: self.copy.revision,
--- a/sparline/placement/_prompt_cache.py
+++ b/sparline/placement/_prompt_cache.py
@@ -95,7 +95,7 @@
             keys = self._rng.sample(keys, MAX_REPORTS_PER_DATAGRAM)
         return [PromptReadNote(round(now - self._to_report[key]), *key) for key in keys]
 
-    def take_reads(self, notes: list[PromptReadNote]) -> None:
+    def merge_prefix_uses(self, notes: list[PromptReadNote]) -> None:
         """Merge reports from a peer; the latest use of each prefix at each engine counts."""
         now = now_ms()
         for note in notes:
--- a/sparline/placement/tests/test_choice.py
+++ b/sparline/placement/tests/test_choice.py
@@ -112,7 +112,7 @@
     def reported(world: World) -> None:
         other = PromptCache(owners_have_read=False)
         other.note(LONG, server.id, 300_000)
-        world.cache.take_reads(other.recent_prefix_uses())
+        world.cache.merge_prefix_uses(other.recent_prefix_uses())
 
     return reported
 
@@ -332,7 +332,7 @@
     other = PromptCache(owners_have_read=False)
     other.note(LONG, N1.id, 300_000)
     if reported:
-        cache.take_reads(other.recent_prefix_uses())
+        cache.merge_prefix_uses(other.recent_prefix_uses())
     assert cache.owner_has_read(LONG) is taken
     assert cache.cached_tokens(LONG, N1.id) == (13_000 if reported else 0)
 
@@ -393,7 +393,7 @@
 def test_number_of_kept_reports_is_bounded(monkeypatch):
     monkeypatch.setattr("sparline.placement._prompt_cache.MAX_REPORTS_KEPT", 3)
     cache = PromptCache(owners_have_read=True)
-    cache.take_reads([PromptReadNote(0, number, "n1") for number in range(10)])
+    cache.merge_prefix_uses([PromptReadNote(0, number, "n1") for number in range(10)])
     assert len(cache._uses) == len(cache._use_counts) == 3
 
 
@@ -408,7 +408,7 @@
         for teller, taker in zip(caches, [*caches[1:], caches[0]], strict=True):
             notes = teller.recent_prefix_uses()
             reported.append(len(notes))
-            taker.take_reads(notes)
+            taker.merge_prefix_uses(notes)
     assert all(cache.cached_tokens(LONG, N1.id) for cache in caches)
     assert sum(reported) < 6 * 11 and not any(reported[-6:])
 
@@ -420,7 +420,7 @@
     cache, peer = (PromptCache(owners_have_read=False) for _ in range(2))
     for _ in range(2):
         cache.note(LONG, N1.id, 300_000)
-        peer.take_reads(cache.recent_prefix_uses())
+        peer.merge_prefix_uses(cache.recent_prefix_uses())
         at_ms[0] += 1_000
     assert [note.age_ms for note in cache.recent_prefix_uses()] == [1_000]
     assert [note.age_ms for note in peer.recent_prefix_uses()] == [1_000]
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -183,7 +183,7 @@
         server_limits._rng = random.Random(ip)
         sources = GossipSources(
             recent_prefix_uses=list,
-            take_reads=lambda _reads: None,
+            merge_prefix_uses=lambda _reads: None,
             server_limits=server_limits.notes,
             take_server_limits=server_limits.take,
             store_revision=lambda: 1,
