--- a/sparline/placement/_kept_prompt.py
+++ b/sparline/placement/_kept_prompt.py
@@ -49,7 +49,7 @@
         return CachedPrefix()
     owner = _owner(prompt, healthy or servers, own_region)
     tokens = {one.id: cache.cached_tokens(prompt, one.id) for one in servers}
-    if owner is not None and cache.owner_has_read(prompt):
+    if owner is not None and cache.owner_has_cached(prompt):
         tokens[owner] = prompt.shared_tokens
     sources: dict[RegionName, BackendServer] = {}
     for server in healthy:
--- a/sparline/placement/_prompt_cache.py
+++ b/sparline/placement/_prompt_cache.py
@@ -153,7 +153,7 @@
         cache_size = self._cache_sizes.get(server_id)
         return cache_size is None or filled < EVICTION_SHARE * cache_size
 
-    def owner_has_read(self, prompt: Prompt) -> bool:
+    def owner_has_cached(self, prompt: Prompt) -> bool:
         """Tell whether the owner of a prefix is taken to have cached it without any report."""
         if prompt.shared_tokens < MIN_FLEET_WIDE_TOKENS:
             return True
--- a/sparline/placement/tests/test_choice.py
+++ b/sparline/placement/tests/test_choice.py
@@ -333,7 +333,7 @@
     other.note(LONG, N1.id, 300_000)
     if reported:
         cache.merge_prefix_uses(other.recent_prefix_uses())
-    assert cache.owner_has_read(LONG) is taken
+    assert cache.owner_has_cached(LONG) is taken
     assert cache.cached_tokens(LONG, N1.id) == (13_000 if reported else 0)
 
 
