--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -202,7 +202,7 @@
         self._cache = world.table(
             region,
             Known.STARTS,
-            lambda: PromptCache(owners_have_read=False, sharing=lambda: sends),
+            lambda: PromptCache(owners_have_cached=False, sharing=lambda: sends),
         )
         self._cache._rng = random.Random(f"cache/{world.draw.seed}/{ip}")
         self.port = GossipPort(
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -204,7 +204,7 @@
         self.loads = LoadTable(region, board.load, self._note_load)
         self.server_limits = ServerLimitTable(self.request_log.note_server_limit)
         self.cache = PromptCache(
-            owners_have_read=not self.settings.first_start,
+            owners_have_cached=not self.settings.first_start,
             sharing=lambda: len(self.members.live(region)) + 1,
         )
         self.pace = PaceTable()
--- a/sparline/placement/_prompt_cache.py
+++ b/sparline/placement/_prompt_cache.py
@@ -49,16 +49,16 @@
 class PromptCache:
     """Remembers which prompt prefixes each engine has prefilled, evicting the oldest."""
 
-    def __init__(self, owners_have_read: bool, sharing: Callable[[], int] = lambda: 1) -> None:
+    def __init__(self, owners_have_cached: bool, sharing: Callable[[], int] = lambda: 1) -> None:
         """Start empty.
 
-        `owners_have_read` says whether prefixes that no instance reported are taken to be cached by
+        `owners_have_cached` says whether prefixes that no instance reported are taken to be cached by
         their owner. `sharing` returns how many instances send to the same engines as this one.
         """
         self._sharing = sharing
         self._filled: dict[BackendServerId, int] = {}
         self._cache_sizes: dict[BackendServerId, int] = {}
-        self._owners_have_read = owners_have_read
+        self._owners_have_read = owners_have_cached
         self._prefixes: dict[BackendServerId, OrderedDict[str, int]] = {}
         self._prefix_tokens: dict[BackendServerId, int] = {}
         self._to_report: dict[tuple[int, str], float] = {}
--- a/sparline/placement/tests/test_choice.py
+++ b/sparline/placement/tests/test_choice.py
@@ -58,7 +58,7 @@
             self.fleet.by_service.setdefault(server.service, []).append(server)
         self.health = HealthTable()
         self.limits = ServerLimitTable()
-        self.cache = PromptCache(owners_have_read=False)
+        self.cache = PromptCache(owners_have_cached=False)
         credit = CreditTable()
         credit.note(ENGINES, SHORT)
         note = MemberNote("p", "p", 1, 1, MemberPhase.live, SOUTH, "south-1")
@@ -110,7 +110,7 @@
 
 def cache_long_prefix_at(server: BackendServer):
     def reported(world: World) -> None:
-        other = PromptCache(owners_have_read=False)
+        other = PromptCache(owners_have_cached=False)
         other.note(LONG, server.id, 300_000)
         world.cache.merge_prefix_uses(other.recent_prefix_uses())
 
@@ -328,8 +328,8 @@
 
 @pytest.mark.parametrize(("assumed", "reported", "taken"), OWNER_CASES)
 def test_owner_is_taken_to_have_cached_only_without_reports(assumed, reported, taken):
-    cache = PromptCache(owners_have_read=assumed)
-    other = PromptCache(owners_have_read=False)
+    cache = PromptCache(owners_have_cached=assumed)
+    other = PromptCache(owners_have_cached=False)
     other.note(LONG, N1.id, 300_000)
     if reported:
         cache.merge_prefix_uses(other.recent_prefix_uses())
@@ -338,7 +338,7 @@
 
 
 def test_oldest_prefixes_are_evicted():
-    cache = PromptCache(owners_have_read=False)
+    cache = PromptCache(owners_have_cached=False)
     prompts = [Prompt(3_000, 1, (PromptStart(f"/{number}", 2_000),)) for number in range(10)]
     for prompt in prompts:
         cache.note(prompt, N1.id, 20_000)
@@ -354,7 +354,7 @@
 
 
 def test_only_uncached_prefixes_fill_the_cache():
-    cache = PromptCache(owners_have_read=False)
+    cache = PromptCache(owners_have_cached=False)
     other = Prompt(8_000, 0, (PromptStart("/other", 7_000),))
     cache.note(LONG, N1.id, 40_000)
     cache.note(other, N1.id, 40_000)
@@ -369,7 +369,7 @@
     ("taken", "sharing", "kept"), [row[1:] for row in REFILLS], ids=[row[0] for row in REFILLS]
 )
 def test_long_prefix_counts_as_cached_until_cache_is_refilled(taken, sharing, kept):
-    cache = PromptCache(owners_have_read=False, sharing=lambda: sharing)
+    cache = PromptCache(owners_have_cached=False, sharing=lambda: sharing)
     cache.note(LONG, N1.id, 20_000)
     cache.note(Prompt(taken, 0, ()), N1.id, 20_000)
     assert cache.cached_tokens(LONG, N1.id) == (13_000 if kept else 0)
@@ -392,7 +392,7 @@
 
 def test_number_of_kept_reports_is_bounded(monkeypatch):
     monkeypatch.setattr("sparline.placement._prompt_cache.MAX_REPORTS_KEPT", 3)
-    cache = PromptCache(owners_have_read=True)
+    cache = PromptCache(owners_have_cached=True)
     cache.merge_prefix_uses([PromptReadNote(0, number, "n1") for number in range(10)])
     assert len(cache._uses) == len(cache._use_counts) == 3
 
@@ -400,7 +400,7 @@
 def test_report_reaches_every_cache_and_then_stops(monkeypatch):
     at_ms = [1_000_000.0]
     monkeypatch.setattr(_prompt_cache, "now_ms", lambda: at_ms[0])
-    caches = [PromptCache(owners_have_read=False) for _ in range(6)]
+    caches = [PromptCache(owners_have_cached=False) for _ in range(6)]
     caches[0].note(LONG, N1.id, 300_000)
     reported = []
     for _ in range(40):
@@ -417,7 +417,7 @@
     # A prefix counts as cached until its engine has taken in enough tokens since its last use.
     at_ms = [1_000_000.0]
     monkeypatch.setattr(_prompt_cache, "now_ms", lambda: at_ms[0])
-    cache, peer = (PromptCache(owners_have_read=False) for _ in range(2))
+    cache, peer = (PromptCache(owners_have_cached=False) for _ in range(2))
     for _ in range(2):
         cache.note(LONG, N1.id, 300_000)
         peer.merge_prefix_uses(cache.recent_prefix_uses())
