--- a/sparline/placement/_kept_prompt.py
+++ b/sparline/placement/_kept_prompt.py
@@ -53,7 +53,7 @@
         tokens[owner] = prompt.shared_tokens
     sources: dict[RegionName, BackendServer] = {}
     for server in healthy:
-        if not prompt.shared_starts or not cache.can_pass_on(prompt, server.id):
+        if not prompt.shared_starts or not cache.can_transfer(prompt, server.id):
             continue
         largest = sources.get(server.region)
         if largest is None or tokens[server.id] > tokens[largest.id]:
--- a/sparline/placement/_prompt_cache.py
+++ b/sparline/placement/_prompt_cache.py
@@ -140,7 +140,7 @@
         since_ms = before.since_ms if before is not None and cached else at_ms
         return _Use(since_ms, at_ms, self._filled.get(server_id, 0))
 
-    def can_pass_on(self, prompt: Prompt, server_id: BackendServerId) -> bool:
+    def can_transfer(self, prompt: Prompt, server_id: BackendServerId) -> bool:
         """Tell whether an engine has finished the prefill of a prefix, as far as is known."""
         use = self._uses.get((_hash(prompt), server_id))
         return use is None or now_ms() - use.since_ms >= PREFILL_TIME_MS
