--- a/sparline/placement/__init__.py
+++ b/sparline/placement/__init__.py
@@ -11,7 +11,7 @@
 from sparline.placement._pauses import GapTable
 from sparline.placement._place_judge import InstanceLocation, PlacementTables
 from sparline.placement._placement import Doubt, Placement, Refusal
-from sparline.placement._prompt_cache import PromptCache, owner_of
+from sparline.placement._prompt_cache import PromptCache, prefix_owner
 from sparline.placement._rate_shares import RateShares
 from sparline.placement._server_limits import ServerLimit, ServerLimitTable
 from sparline.placement._stream_watch import StreamWatch, WatchTables
@@ -39,5 +39,5 @@
     "ServerLimitTable",
     "StreamWatch",
     "WatchTables",
-    "owner_of",
+    "prefix_owner",
 ]
--- a/sparline/placement/_kept_prompt.py
+++ b/sparline/placement/_kept_prompt.py
@@ -4,7 +4,7 @@
 
 from sparline._ids import BackendServerId, RegionName
 from sparline.fleet import BackendServer
-from sparline.placement._prompt_cache import MIN_FLEET_WIDE_TOKENS, PromptCache, owner_of
+from sparline.placement._prompt_cache import MIN_FLEET_WIDE_TOKENS, PromptCache, prefix_owner
 from sparline.requests import Prompt
 
 # Shorter prefixes are prefilled again rather than fetched (tokens): at 50 tokens a millisecond that
@@ -70,4 +70,4 @@
     """Return the engine that is to hold the prompt's prefix."""
     near = [one for one in servers if one.region == own_region]
     pool = servers if prompt.shared_tokens >= MIN_FLEET_WIDE_TOKENS or not near else near
-    return owner_of(prompt, [one.id for one in pool])
+    return prefix_owner(prompt, [one.id for one in pool])
--- a/sparline/placement/_prompt_cache.py
+++ b/sparline/placement/_prompt_cache.py
@@ -175,7 +175,7 @@
     return hash64(prompt.shared_starts[-1].key) >> 1
 
 
-def owner_of(prompt: Prompt, engines: list[BackendServerId]) -> BackendServerId | None:
+def prefix_owner(prompt: Prompt, engines: list[BackendServerId]) -> BackendServerId | None:
     """Return the engine that all instances choose for a prompt's prefix, by rendezvous hashing."""
     if not prompt.shared_starts or not engines:
         return None
--- a/sparline/placement/tests/test_choice.py
+++ b/sparline/placement/tests/test_choice.py
@@ -26,7 +26,7 @@
     Refusal,
     ServerLimitTable,
     _prompt_cache,
-    owner_of,
+    prefix_owner,
 )
 from sparline.requests import Origin, Prompt, PromptStart
 from sparline.routes import EngineFigures, RequestKind, ServiceShare
@@ -309,10 +309,10 @@
 def test_all_instances_agree_on_owner_of_prefix():
     engines = [BackendServerId(f"e{number}") for number in range(6)]
     prompts = [Prompt(9_000, 1, (PromptStart(f"/{number}", 8_000),)) for number in range(300)]
-    owners = [owner_of(prompt, engines) for prompt in prompts]
-    assert owners == [owner_of(prompt, engines[::-1]) for prompt in prompts]
+    owners = [prefix_owner(prompt, engines) for prompt in prompts]
+    assert owners == [prefix_owner(prompt, engines[::-1]) for prompt in prompts]
     assert all(20 < owners.count(engine) < 90 for engine in engines)
-    without = [owner_of(prompt, engines[1:]) for prompt in prompts]
+    without = [prefix_owner(prompt, engines[1:]) for prompt in prompts]
     moved = [a for a, b in zip(owners, without, strict=True) if a != b]
     assert set(moved) == {engines[0]}
 
