--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -249,7 +249,7 @@
     def _note_shown(self, server_id: BackendServerId, shown_log: float) -> None:
         # A table that all share has learned of it already.
         if Known.PACES not in self._world.known:
-            self._pace.note_shown(server_id, shown_log)
+            self._pace.note_log_factor(server_id, shown_log)
 
     def _set_phase(self) -> None:
         self.members.own = msgspec.structs.replace(self.members.own, phase=MemberPhase.live)
--- a/sparline/fleet/_load_exchange.py
+++ b/sparline/fleet/_load_exchange.py
@@ -71,7 +71,7 @@
     is_doubted: Callable[[BackendServerId], bool]  # whether one of them did
     region_servers: Callable[[], list[BackendServerId]]  # all of its region
     # Takes what a sibling's reading showed of a server: the logarithm of its factor.
-    note_shown: Callable[[BackendServerId, float], None]
+    note_log_factor: Callable[[BackendServerId, float], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -253,7 +253,7 @@
         server_id = BackendServerId(news.change.backend_server)
         self.board.note_change(server_id, read_load(news.change))
         if news.slower_milli:
-            self._sources.note_shown(server_id, news.slower_milli / MILLI)
+            self._sources.note_log_factor(server_id, news.slower_milli / MILLI)
 
 
 def _notes(readings: list[tuple[BackendServerId, LoadReading]]) -> list[LoadReadingNote]:
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -197,7 +197,7 @@
                 self._doubted_here,
                 self.health.is_doubted,
                 lambda: self.fleet.ids_in(region),
-                lambda server_id, shown_log: self.pace.note_shown(server_id, shown_log),
+                lambda server_id, shown_log: self.pace.note_log_factor(server_id, shown_log),
             ),
         )
         board = self.load_exchange.board
--- a/sparline/placement/_pace.py
+++ b/sparline/placement/_pace.py
@@ -166,10 +166,10 @@
             return None
         usual_ms = usual.engine.base_ms + (work.queued_tokens + effort) * usual.engine.token_ms
         shown_log = math.log(expected_ms * ratio / max(usual_ms, 1.0))
-        self.note_shown(server_id, shown_log)
+        self.note_log_factor(server_id, shown_log)
         return shown_log
 
-    def note_shown(self, server_id: BackendServerId, shown_log: float) -> None:
+    def note_log_factor(self, server_id: BackendServerId, shown_log: float) -> None:
         """Update an engine's factor with one prefill of this instance, or one that a peer reported.
 
         Where many instances send to the same engines, each measures one engine so rarely that the
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -99,15 +99,15 @@
     for _ in range(5):
         clock[0] += 200
         shown_log = siblings.note_first_event(ENGINES, N2.id, PrefillWork(0, 2_000, 0), 180.0)
-        mine.note_shown(N2.id, shown_log)
+        mine.note_log_factor(N2.id, shown_log)
     assert mine.engine(ENGINES, N2.id).token_ms > 1.5 * usual
     assert mine.engine(ENGINES, N1.id).token_ms == pytest.approx(usual, rel=0.05)
 
 
 def test_out_of_range_report_counts_as_one_bounded_measurement(clock):
     told, told_more = PaceTable(), PaceTable()
-    told.note_shown(N1.id, math.log(6.0))
-    told_more.note_shown(N1.id, 50.0)
+    told.note_log_factor(N1.id, math.log(6.0))
+    told_more.note_log_factor(N1.id, 50.0)
     assert told_more.engine(ENGINES, N1.id) == told.engine(ENGINES, N1.id)
 
 
