--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -246,10 +246,10 @@
         chance = random.Random(f"{world.draw.seed}/{ip}")
         self._chooser = make(InstanceLocation(RegionName(region), ZoneName(zone)), tables, chance)
 
-    def _note_shown(self, server_id: BackendServerId, shown_log: float) -> None:
+    def _note_shown(self, server_id: BackendServerId, log_factor: float) -> None:
         # A table that all share has learned of it already.
         if Known.PACES not in self._world.known:
-            self._pace.note_log_factor(server_id, shown_log)
+            self._pace.note_log_factor(server_id, log_factor)
 
     def _set_phase(self) -> None:
         self.members.own = msgspec.structs.replace(self.members.own, phase=MemberPhase.live)
@@ -257,9 +257,9 @@
     def _peers(self, region: RegionName) -> list[Member]:
         return self.members.live(region)
 
-    def _note_load(self, server: BackendServer, change: LoadOf, shown_log: float | None) -> None:
+    def _note_load(self, server: BackendServer, change: LoadOf, log_factor: float | None) -> None:
         is_near = server.region == self.region
-        self.port.tell(self.exchange.note_change(server.id, change, shown_log, is_near))
+        self.port.tell(self.exchange.note_change(server.id, change, log_factor, is_near))
 
     def gossip(self) -> None:
         """Tell some instances, then again after a while."""
--- a/sparline/fleet/_load_exchange.py
+++ b/sparline/fleet/_load_exchange.py
@@ -98,7 +98,7 @@
         self._since_ms: dict[BackendServerId, float] = {}  # when it became the aggregator
 
     def note_change(
-        self, server_id: BackendServerId, change: LoadOf, shown_log: float | None, is_near: bool
+        self, server_id: BackendServerId, change: LoadOf, log_factor: float | None, is_near: bool
     ) -> list[Outgoing]:
         """Note what this instance has put on a server, and what a reading showed of it.
 
@@ -114,18 +114,18 @@
             running = None if believed is None else believed.running
             outgoing += self._shares_to(self._aggregators.of(server_id), [server_id], running)
         if abs(change.unread_tokens) >= NEWS_LEAST_TOKENS:
-            outgoing += self._news(server_id, change, shown_log)
+            outgoing += self._news(server_id, change, log_factor)
         return outgoing
 
     def _news(
-        self, server_id: BackendServerId, change: LoadOf, shown_log: float | None
+        self, server_id: BackendServerId, change: LoadOf, log_factor: float | None
     ) -> list[Outgoing]:
         """Return what all siblings are to know at once of a reading that begins or is over."""
         siblings = [one.note.ip for one in self._siblings()]
         is_long = abs(change.unread_tokens) >= NEWS_TOKENS
         if not is_long and not self._short_news.take(len(siblings) + 1):
             return []
-        slower_milli = round((shown_log or 0.0) * MILLI)
+        slower_milli = round((log_factor or 0.0) * MILLI)
         return [Outgoing(siblings, LoadNews(write_load(server_id, change), slower_milli))]
 
     def _siblings(self) -> list[Member]:
--- a/sparline/fleet/tests/test_load_exchange.py
+++ b/sparline/fleet/tests/test_load_exchange.py
@@ -63,7 +63,7 @@
                 lambda: self.doubted,
                 lambda server: server in self.doubted,
                 lambda: servers,
-                lambda server, shown_log: self.shown.append((server, shown_log)),
+                lambda server, log_factor: self.shown.append((server, log_factor)),
             ),
         )
         self.loads.round()
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -197,7 +197,7 @@
                 self._doubted_here,
                 self.health.is_doubted,
                 lambda: self.fleet.ids_in(region),
-                lambda server_id, shown_log: self.pace.note_log_factor(server_id, shown_log),
+                lambda server_id, log_factor: self.pace.note_log_factor(server_id, log_factor),
             ),
         )
         board = self.load_exchange.board
@@ -275,9 +275,9 @@
             )
         )
 
-    def _note_load(self, server: BackendServer, change: LoadOf, shown_log: float | None) -> None:
+    def _note_load(self, server: BackendServer, change: LoadOf, log_factor: float | None) -> None:
         is_near = server.region == self.members.own.region
-        self.gossip.tell(self.load_exchange.note_change(server.id, change, shown_log, is_near))
+        self.gossip.tell(self.load_exchange.note_change(server.id, change, log_factor, is_near))
 
     def _doubted_here(self) -> list[str]:
         region = self.members.own.region
--- a/sparline/placement/_loads.py
+++ b/sparline/placement/_loads.py
@@ -56,15 +56,15 @@
         load.used_at_ms = now_ms()
         on_change(LoadOf(1, held_tokens, unread_tokens), None)
 
-    def note_first_event(self, shown_log: float | None = None) -> None:
+    def note_first_event(self, log_factor: float | None = None) -> None:
         """Count the prompt as prefilled.
 
-        `shown_log` is the result of `PaceTable.note_first_event`.
+        `log_factor` is the result of `PaceTable.note_first_event`.
         """
         read, self._unread_tokens = self._unread_tokens, 0
         if read:
             self._load.unread_tokens -= read
-            self._on_change(LoadOf(0, 0, -read), shown_log)
+            self._on_change(LoadOf(0, 0, -read), log_factor)
 
     def release(self) -> None:
         """Count the request as ended; further calls have no effect."""
@@ -104,7 +104,7 @@
             load,
             held_tokens,
             unread_tokens,
-            lambda change, shown_log: self._note_change(server, change, shown_log),
+            lambda change, log_factor: self._note_change(server, change, log_factor),
         )
         if unread_tokens:
             queued_tokens = self.of(server).unread_tokens - unread_tokens
--- a/sparline/placement/_pace.py
+++ b/sparline/placement/_pace.py
@@ -165,18 +165,18 @@
             # The queue had progressed further than reported: the engine is not fast.
             return None
         usual_ms = usual.engine.base_ms + (work.queued_tokens + effort) * usual.engine.token_ms
-        shown_log = math.log(expected_ms * ratio / max(usual_ms, 1.0))
-        self.note_log_factor(server_id, shown_log)
-        return shown_log
+        log_factor = math.log(expected_ms * ratio / max(usual_ms, 1.0))
+        self.note_log_factor(server_id, log_factor)
+        return log_factor
 
-    def note_log_factor(self, server_id: BackendServerId, shown_log: float) -> None:
+    def note_log_factor(self, server_id: BackendServerId, log_factor: float) -> None:
         """Update an engine's factor with one prefill of this instance, or one that a peer reported.
 
         Where many instances send to the same engines, each measures one engine so rarely that the
         factor would decay between its own measurements.
         """
         previous_log = self._log_factor(server_id)
-        log_change = min(max(shown_log - previous_log, -MAX_LOG_CHANGE), MAX_LOG_CHANGE)
+        log_change = min(max(log_factor - previous_log, -MAX_LOG_CHANGE), MAX_LOG_CHANGE)
         self._engines[server_id] = _EngineFactor(
             previous_log + ENGINE_WEIGHT * log_change, now_ms()
         )
--- a/sparline/placement/_stream_watch.py
+++ b/sparline/placement/_stream_watch.py
@@ -64,10 +64,10 @@
         self._events += 1
         if self._events == 1:
             self._first_at_ms = now_ms()
-            shown_log = (
+            log_factor = (
                 None if self._was_suspended_since(self._sent_at_ms) else self._note_prefill_speed()
             )
-            self._reservation.note_first_event(shown_log)
+            self._reservation.note_first_event(log_factor)
         elif self._was_suspended_since(self._event_at_ms):
             self._gap_prefill = None
         elif self._request.route.pause_target_ms:
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -98,8 +98,8 @@
     usual = mine.engine(ENGINES, N2.id).token_ms
     for _ in range(5):
         clock[0] += 200
-        shown_log = siblings.note_first_event(ENGINES, N2.id, PrefillWork(0, 2_000, 0), 180.0)
-        mine.note_log_factor(N2.id, shown_log)
+        log_factor = siblings.note_first_event(ENGINES, N2.id, PrefillWork(0, 2_000, 0), 180.0)
+        mine.note_log_factor(N2.id, log_factor)
     assert mine.engine(ENGINES, N2.id).token_ms > 1.5 * usual
     assert mine.engine(ENGINES, N1.id).token_ms == pytest.approx(usual, rel=0.05)
 
