--- a/sparline/gateway/_service.py
+++ b/sparline/gateway/_service.py
@@ -248,7 +248,7 @@
         """Tell whether this instance stays long enough for a request."""
         if self.leave_plan is None:
             return True
-        token_ms = self._pace.output_token_most_ms(service)
+        token_ms = self._pace.max_output_token_ms(service)
         return self.leave_plan.takes(route, marks.prompt, token_ms)
 
     def _refuse(
--- a/sparline/placement/_pace.py
+++ b/sparline/placement/_pace.py
@@ -201,7 +201,7 @@
         previous = self.answer_ms(service)
         self._answer_ms[service] = previous + ANSWER_WEIGHT * (took_ms - previous)
 
-    def output_token_most_ms(self, service: ServiceName) -> float:
+    def max_output_token_ms(self, service: ServiceName) -> float:
         """Return the estimated maximum time of an output token."""
         pace = self._outputs.get(service, _OutputPace())
         return pace.mean_ms + MAX_DEVIATIONS * pace.deviation_ms
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -124,14 +124,14 @@
 
 def test_maximum_output_token_time_is_learned():
     pace = PaceTable()
-    assert pace.output_token_most_ms(ENGINES) == 15.0
+    assert pace.max_output_token_ms(ENGINES) == 15.0
     chance = random.Random(5)
     took = [100 * chance.uniform(20, 40) for _ in range(200)]
     for took_ms in took:
         pace.note_output(ENGINES, 100, took_ms)
-    assert 40 <= pace.output_token_most_ms(ENGINES) <= 50
+    assert 40 <= pace.max_output_token_ms(ENGINES) <= 50
     pace.note_output(ENGINES, 5, 90_000.0)
-    assert pace.output_token_most_ms(ENGINES) <= 50
+    assert pace.max_output_token_ms(ENGINES) <= 50
 
 
 # Gaps during which an engine prefilled all the time (ms); a prefill (ms); bounds of the share of
