--- a/benchmarks/_decide.py
+++ b/benchmarks/_decide.py
@@ -24,7 +24,7 @@
 class LeastLoaded(Chooser):
     """Send each request to the near engine with least under way; refuse nothing."""
 
-    def _best(self, placements: list[Placement], beside_few: bool) -> Placement:
+    def _best(self, placements: list[Placement], prefer_few_running: bool) -> Placement:
         near = [one for one in placements if one.peer is None]
         free = [one for one in near if not one.waits] or placements
         return min(free, key=lambda one: (one.load.running, self._rng.random()))
--- a/sparline/placement/_choice.py
+++ b/sparline/placement/_choice.py
@@ -52,12 +52,12 @@
         request: RoutedRequest,
         excluded: frozenset[BackendServerId],
         has_begun: bool = False,
-        beside_few: bool = False,
+        prefer_few_running: bool = False,
     ) -> Placement | Refusal:
         """Return the placement with the lowest loss.
 
         `excluded` are servers that were tried already; `has_begun` says that the caller has
-        received part of the answer; `beside_few` selects the server with the fewest running
+        received part of the answer; `prefer_few_running` selects the server with the fewest running
         requests, because this request may crash it.
         """
         service = self._tables.fleet.configuration.services.get(request.service)  # type: ignore[union-attr]
@@ -86,7 +86,7 @@
         placements = [one for one in estimated if one is not None]
         if not placements:
             return Refusal(Reason.NO_BACKEND, unserved_wait_ms(request.left_ms()), len(servers))
-        best = self._best(placements, beside_few)
+        best = self._best(placements, prefer_few_running)
         if has_begun:
             # A delayed continuation is worth more to the caller than a broken stream.
             return best
@@ -179,10 +179,10 @@
             return servers
         return [one for one in servers if one.region not in full] or servers
 
-    def _best(self, placements: list[Placement], beside_few: bool) -> Placement:
+    def _best(self, placements: list[Placement], prefer_few_running: bool) -> Placement:
         min_doubt = min(one.doubt.value for one in placements)
         trusted = [one for one in placements if one.doubt.value == min_doubt]
-        if beside_few:
+        if prefer_few_running:
             return min(trusted, key=lambda one: (one.load.running, one.loss))
         min_loss = min(one.loss for one in trusted)
         tied = [one for one in trusted if one.loss <= min_loss + LOSS_TOLERANCE]
