--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -241,7 +241,7 @@
             peers=self._peers,
             round_trip_ms=lambda other: 2 * world.way_ms(region, other),
             load_age_ms=self.exchange.board.age_ms,
-            is_doubted_there=self.exchange.board.is_doubted,
+            is_doubted_by_region=self.exchange.board.is_doubted,
         )
         chance = random.Random(f"{world.draw.seed}/{ip}")
         self._chooser = make(InstanceLocation(RegionName(region), ZoneName(zone)), tables, chance)
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -233,7 +233,7 @@
             peers=self.peers.usable,
             round_trip_ms=self.peers.round_trip_ms,
             load_age_ms=board.age_ms,
-            is_doubted_there=board.is_doubted,
+            is_doubted_by_region=board.is_doubted,
         )
         place = InstanceLocation(region, ZoneName(self.settings.availability_zone))
         self.chooser = Chooser(place, tables, random.Random())
--- a/sparline/placement/_place_judge.py
+++ b/sparline/placement/_place_judge.py
@@ -76,7 +76,7 @@
     round_trip_ms: Callable[[RegionName], float]  # network round trip time to a region
     load_age_ms: Callable[[BackendServerId], float | None]  # age of the known load of a server
     # Whether instances of a server's region reported that it failed recently.
-    is_doubted_there: Callable[[BackendServerId], bool]
+    is_doubted_by_region: Callable[[BackendServerId], bool]
 
 
 @dataclass(frozen=True, slots=True)
@@ -180,7 +180,7 @@
         is_remote = server.region != self._place.region
         return (
             Doubt.PASSED_OVER
-            if is_remote and self._tables.is_doubted_there(server.id)
+            if is_remote and self._tables.is_doubted_by_region(server.id)
             else Doubt.NONE
         )
 
--- a/sparline/placement/tests/test_choice.py
+++ b/sparline/placement/tests/test_choice.py
@@ -78,7 +78,7 @@
             peers=lambda _region: peers,
             round_trip_ms=lambda _region: 110.0,
             load_age_ms=lambda _one: 100.0,
-            is_doubted_there=lambda one: one in self.doubted_there,
+            is_doubted_by_region=lambda one: one in self.doubted_there,
         )
         self.chooser = Chooser(PLACE, self.tables, random.Random(1))
 
