--- a/sparline/decisions/_admission.py
+++ b/sparline/decisions/_admission.py
@@ -39,7 +39,7 @@
     wanted_ms: float  # target time to the first event or answer
     left_ms: float  # time until the caller gives up
     expected_ms: float  # estimated time to the first event or answer
-    reading_ms: float  # part of it that the prefill of its own prompt takes
+    prefill_ms: float  # part of it that the prefill of its own prompt takes
     loss: float  # loss at that server, relative to the credit of the request
     is_idle: bool  # whether no request is running there
     is_relayed: bool  # whether another instance relayed the request
@@ -54,10 +54,10 @@
         return None
     expected_ms = facts.expected_ms
     loss = facts.loss
-    if facts.reading_ms > LONG_PREFILL_RATIO * facts.wanted_ms:
+    if facts.prefill_ms > LONG_PREFILL_RATIO * facts.wanted_ms:
         # A long prompt is judged by its wait before prefill only, not by its length.
-        expected_ms -= facts.reading_ms
-        loss -= (facts.reading_ms / facts.wanted_ms) ** 2
+        expected_ms -= facts.prefill_ms
+        loss -= (facts.prefill_ms / facts.wanted_ms) ** 2
     max_ratio = MAX_RELAYED_LATENESS_RATIO if facts.is_relayed else MAX_LATENESS_RATIO
     if expected_ms > max_ratio * facts.wanted_ms:
         return RefusalReason.LATE
--- a/sparline/forwarding/_resume_wait.py
+++ b/sparline/forwarding/_resume_wait.py
@@ -23,7 +23,7 @@
     """Tell whether a stream that broke off is to wait before it goes on at a place."""
     if not progress.began and request.resume_after is None:
         return False
-    queue_ms = place.expected_ms - place.reading_ms
+    queue_ms = place.expected_ms - place.prefill_ms
     if queue_ms <= QUEUE_SHARE * request.route.wanted_latency_ms:
         return False
     return _silent_ms(request, progress) < PATIENCE_SHARE * given_up_ms(request.route)
--- a/sparline/forwarding/tests/test_resume_wait.py
+++ b/sparline/forwarding/tests/test_resume_wait.py
@@ -15,7 +15,7 @@
         server=make_server(BackendServerId("e1")),
         peer=None,
         expected_ms=queue_ms + 700.0,
-        reading_ms=700.0,
+        prefill_ms=700.0,
         unread_tokens=14_000,
         effort_tokens=14_000,
         source=None,
--- a/sparline/placement/_choice.py
+++ b/sparline/placement/_choice.py
@@ -195,7 +195,7 @@
                 wanted_ms=request.route.wanted_latency_ms,
                 left_ms=request.left_ms(),
                 expected_ms=best.expected_ms,
-                reading_ms=best.reading_ms,
+                prefill_ms=best.prefill_ms,
                 loss=best.loss,
                 is_idle=not best.load.running,
                 is_relayed=request.origin is Origin.RELAY,
--- a/sparline/placement/_place_judge.py
+++ b/sparline/placement/_place_judge.py
@@ -162,7 +162,7 @@
             server=server,
             peer=peer,
             expected_ms=expected_ms,
-            reading_ms=work.effort_tokens * pace.token_ms,
+            prefill_ms=work.effort_tokens * pace.token_ms,
             unread_tokens=work.unread_tokens,
             effort_tokens=work.effort_tokens,
             source=work.source,
@@ -242,8 +242,8 @@
         queued = max(load.running + 1 - service.engine.slots, 0)
         queue_ms = queued / service.engine.slots * usual_ms
         fetch_ms = FETCH_QUEUE_FACTOR * service.engine.fetch_ms(work.fetched_tokens)
-        reading_ms = (load.unread_tokens + work.effort_tokens) * pace.token_ms
-        return pace.base_ms + queue_ms + reading_ms + fetch_ms
+        prefill_ms = (load.unread_tokens + work.effort_tokens) * pace.token_ms
+        return pace.base_ms + queue_ms + prefill_ms + fetch_ms
 
     def _prompt_loss(
         self,
@@ -281,6 +281,6 @@
 ) -> float:
     """Return the loss of the requests that queue behind a prefill."""
     queue_ms = load.unread_tokens * pace.token_ms
-    reading_ms = work.effort_tokens * pace.token_ms
+    prefill_ms = work.effort_tokens * pace.token_ms
     queue_ratio = queue_ms / request.route.wanted_latency_ms
-    return DISPLACEMENT_WEIGHT * common.demand * reading_ms * queue_ratio**2
+    return DISPLACEMENT_WEIGHT * common.demand * prefill_ms * queue_ratio**2
--- a/sparline/placement/_placement.py
+++ b/sparline/placement/_placement.py
@@ -22,7 +22,7 @@
     server: BackendServer  # chosen server
     peer: Member | None  # instance in the server's region, None for this region
     expected_ms: float  # estimated time to the first event or answer
-    reading_ms: float  # part of it that the prefill of its own prompt takes
+    prefill_ms: float  # part of it that the prefill of its own prompt takes
     unread_tokens: int  # prompt tokens that have to be prefilled there
     effort_tokens: int  # prefill, as tokens at the start of a prompt that take as long
     source: BackendServer | None  # engine of its region that transfers its cached prefix
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -149,17 +149,17 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "covered", "reading_ms", "least", "most"),
+    ("name", "covered", "prefill_ms", "least", "most"),
     LATE_SHARES,
     ids=[row[0] for row in LATE_SHARES],
 )
-def test_late_share_follows_observed_gaps(name, covered, reading_ms, least, most):
+def test_late_share_follows_observed_gaps(name, covered, prefill_ms, least, most):
     pauses = GapTable()
     for _ in range(100):
         pauses.note_base_gap(ENGINES, PAUSE_MS, 20.0, 50.0)
     for pause_ms in covered * (1 if len(covered) > 1 else 100):
         pauses.note_gap_during_prefill(ENGINES, PAUSE_MS, pause_ms)
-    assert least <= pauses.late_share(ENGINES, PAUSE_MS, reading_ms) <= most
+    assert least <= pauses.late_share(ENGINES, PAUSE_MS, prefill_ms) <= most
 
 
 def test_late_share_does_not_fall_with_prefill_length():
@@ -184,10 +184,10 @@
 )
 def test_outcomes_outweigh_prediction_from_gap_lengths(name, seen, least, most):
     pauses = GapTable()
-    for reading_ms, late in seen:
+    for prefill_ms, late in seen:
         for number in range(100):
             pauses.note_outcome(ENGINES, PAUSE_MS, 10.0, False)
-            pauses.note_outcome(ENGINES, PAUSE_MS, reading_ms, number < late)
+            pauses.note_outcome(ENGINES, PAUSE_MS, prefill_ms, number < late)
     assert least <= pauses.late_share(ENGINES, PAUSE_MS, 350.0) <= most
 
 
@@ -213,7 +213,7 @@
         "server": N1,
         "peer": None,
         "expected_ms": 100.0,
-        "reading_ms": 80.0,
+        "prefill_ms": 80.0,
         "unread_tokens": 400,
         "effort_tokens": 400,
         "source": None,
