--- a/sparline/decisions/_admission.py
+++ b/sparline/decisions/_admission.py
@@ -36,7 +36,7 @@
 class AdmissionFacts:
     """Facts about a request at the candidate server with the lowest loss."""
 
-    wanted_ms: float  # target time to the first event or answer
+    target_ms: float  # target time to the first event or answer
     left_ms: float  # time until the caller gives up
     expected_ms: float  # estimated time to the first event or answer
     prefill_ms: float  # part of it that the prefill of its own prompt takes
@@ -54,12 +54,12 @@
         return None
     expected_ms = facts.expected_ms
     loss = facts.loss
-    if facts.prefill_ms > LONG_PREFILL_RATIO * facts.wanted_ms:
+    if facts.prefill_ms > LONG_PREFILL_RATIO * facts.target_ms:
         # A long prompt is judged by its wait before prefill only, not by its length.
         expected_ms -= facts.prefill_ms
-        loss -= (facts.prefill_ms / facts.wanted_ms) ** 2
+        loss -= (facts.prefill_ms / facts.target_ms) ** 2
     max_ratio = MAX_RELAYED_LATENESS_RATIO if facts.is_relayed else MAX_LATENESS_RATIO
-    if expected_ms > max_ratio * facts.wanted_ms:
+    if expected_ms > max_ratio * facts.target_ms:
         return RefusalReason.LATE
     if loss > MAX_LOSS:
         return RefusalReason.COSTLY
--- a/sparline/decisions/_return_time.py
+++ b/sparline/decisions/_return_time.py
@@ -21,14 +21,14 @@
 class RefusalFacts:
     """Facts about a request that is rejected because of load."""
 
-    wanted_ms: float  # target time to the first event or answer
+    target_ms: float  # target time to the first event or answer
     expected_ms: float  # estimated time to it if the request had been accepted
     left_ms: float  # time until the caller gives up
 
 
 def refusal_retry_after_ms(facts: RefusalFacts) -> float:
     """Return the Retry-After of a request that is rejected because of load."""
-    late_ms = facts.expected_ms - facts.wanted_ms
+    late_ms = facts.expected_ms - facts.target_ms
     return min(max(late_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
 
 
--- a/sparline/decisions/tests/test_decisions.py
+++ b/sparline/decisions/tests/test_decisions.py
@@ -21,7 +21,7 @@
 
 def facts(**changes) -> AdmissionFacts:
     values = {
-        "wanted_ms": 800.0,
+        "target_ms": 800.0,
         "left_ms": 4_000.0,
         "expected_ms": 300.0,
         "prefill_ms": 20.0,
--- a/sparline/placement/_choice.py
+++ b/sparline/placement/_choice.py
@@ -192,7 +192,7 @@
         """Return a refusal for a request that would be too late or cost others too much."""
         why = refusal_reason(
             AdmissionFacts(
-                wanted_ms=request.route.wanted_latency_ms,
+                target_ms=request.route.wanted_latency_ms,
                 left_ms=request.left_ms(),
                 expected_ms=best.expected_ms,
                 prefill_ms=best.prefill_ms,
