--- a/sparline/placement/_choice.py
+++ b/sparline/placement/_choice.py
@@ -113,8 +113,8 @@
         tables = self._tables
         here = [one for one in healthy if one.region == self._region] or healthy
         rate = tables.demand.rate(request.service, request.priority)
-        worth = tables.demand.worth(request, request.prompt)
-        return rate * tables.sharing() / max(len(here), 1) / worth
+        request_value = tables.demand.request_value(request, request.prompt)
+        return rate * tables.sharing() / max(len(here), 1) / request_value
 
     def _servers(
         self,
--- a/sparline/placement/_demand.py
+++ b/sparline/placement/_demand.py
@@ -54,10 +54,10 @@
         by_class = self._arrivals.setdefault(request.service, {})
         arrivals = by_class.setdefault(_class_of(request), _Arrivals(size))
         arrivals.usual_size += USUAL_WEIGHT * (size - arrivals.usual_size)
-        arrivals.arrived_value = arrivals.decayed() + self.worth(request, prompt)
+        arrivals.arrived_value = arrivals.decayed() + self.request_value(request, prompt)
         arrivals.at_ms = now_ms()
 
-    def worth(self, request: RoutedRequest, prompt: Prompt) -> float:
+    def request_value(self, request: RoutedRequest, prompt: Prompt) -> float:
         """Return the estimated value of a request, from its size."""
         size = credit_of(prompt)
         arrivals = self._arrivals.get(request.service, {}).get(_class_of(request))
