--- a/sparline/placement/_fit.py
+++ b/sparline/placement/_fit.py
@@ -9,8 +9,8 @@
     def __init__(self, prior: Sequence[float], confidence: Sequence[float], decay: float) -> None:
         """Start from the prior weights `prior`.
 
-        `confidence` is the trust in each of them, as a sum of squared features; `decay` is the factor
-        by which the weight of older measurements shrinks with each new one.
+        `confidence` is the trust in each of them, as a sum of squared features; `decay` is the
+        factor by which the weight of older measurements shrinks with each new one.
         """
         size = len(prior)
         self.weights = tuple(prior)  # current estimate, in the order of the features
--- a/sparline/placement/_prompt_cache.py
+++ b/sparline/placement/_prompt_cache.py
@@ -25,8 +25,8 @@
 # Two uses of a prefix within this time count as one (ms): reports that arrive on several paths have
 # ages that differ slightly.
 SAME_USE_MS = 100.0
-# Maximum number of reports from peers that are kept, and how long they are kept (ms); engines of
-# other regions do work that is unknown here.
+# Maximum number of reports that are kept, and how long they are valid (ms): prompts that evict a
+# prefix from an engine of another region are unknown here.
 MAX_REPORTS_KEPT = 20_000
 REPORT_TTL_MS = 120_000.0
 # Engines evict the least recently used prefix. A prefix counts as cached until other prompts have
@@ -52,7 +52,7 @@
     def __init__(self, owners_have_cached: bool, sharing: Callable[[], int] = lambda: 1) -> None:
         """Start empty.
 
-        `owners_have_cached` says whether prefixes that no instance reported are taken to be cached by
+        `owners_have_cached` says whether prefixes that no instance reported count as cached by
         their owner. `sharing` returns how many instances send to the same engines as this one.
         """
         self._sharing = sharing
--- a/sparline/placement/_server_limits.py
+++ b/sparline/placement/_server_limits.py
@@ -11,8 +11,8 @@
 # Time after which a limit that no answer has repeated is forgotten (ms). Removed limits are kept as
 # long, so that an instance that was partitioned does not restore an outdated one.
 LIMIT_TTL_MS = 120_000.0
-# A limit from a peer replaces the known one only if it is newer by more than this (ms), because ages
-# in gossip do not include the network delay, which varies between datagrams.
+# A limit from a peer replaces the known one only if it is newer by more than this (ms), because
+# ages in gossip do not include the network delay, which varies between datagrams.
 AGE_TOLERANCE_MS = 100.0
 # Maximum number of limits in one datagram, a random sample where there are more: about 25 bytes
 # each.
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -105,10 +105,10 @@
 
 
 def test_out_of_range_report_counts_as_one_bounded_measurement(clock):
-    told, told_more = PaceTable(), PaceTable()
-    told.note_log_factor(N1.id, math.log(6.0))
-    told_more.note_log_factor(N1.id, 50.0)
-    assert told_more.engine(ENGINES, N1.id) == told.engine(ENGINES, N1.id)
+    bounded, out_of_range = PaceTable(), PaceTable()
+    bounded.note_log_factor(N1.id, math.log(6.0))
+    out_of_range.note_log_factor(N1.id, 50.0)
+    assert out_of_range.engine(ENGINES, N1.id) == bounded.engine(ENGINES, N1.id)
 
 
 def test_prefill_time_behind_a_prefix_is_learned(clock):
--- a/sparline/placement/tests/test_server_limits.py
+++ b/sparline/placement/tests/test_server_limits.py
@@ -58,16 +58,16 @@
 
 
 @pytest.mark.parametrize(
-    ("answered", "told", "expected"),
+    ("answered", "peer_note", "expected"),
     [row[1:] for row in PEER_NOTES],
     ids=[row[0] for row in PEER_NOTES],
 )
-def test_newest_answer_of_any_instance_sets_the_limit(clock, answered, told, expected):
+def test_newest_answer_of_any_instance_sets_the_limit(clock, answered, peer_note, expected):
     limits = ServerLimitTable()
     limits.note_answer(S1, 9.9)
     limits.note_answer(S1, answered)
     clock[0] += 1_000
-    limits.take([told])
+    limits.take([peer_note])
     assert limits.limit_per_s(S1) == expected
 
 
