--- a/sparline/decisions/_admission.py
+++ b/sparline/decisions/_admission.py
@@ -1,8 +1,8 @@
 """Admission control: whether a request is accepted.
 
-Guards against a region that receives two to three times the requests that its engines can serve,
-for seconds. Every request that is accepted then delays all those behind it; rejecting those that
-would be late anyway keeps the rest in time.
+Protects a region that receives, for seconds, two to three times the requests that its engines can
+serve. Every accepted request then delays all those behind it; rejecting those that would be late
+anyway keeps the rest in time.
 """
 
 from dataclasses import dataclass
@@ -15,8 +15,8 @@
 # The same for a relayed request: the network round trip takes the rest, and the instance that
 # relayed it may know a better server.
 MAX_RELAYED_LATENESS_RATIO = 1.0
-# A request is rejected if its loss exceeds this multiple of its own credit: it is late itself, or
-# makes others late.
+# A request is rejected if its loss exceeds this multiple of its own credit: either it is late itself
+# or it makes others late.
 MAX_LOSS = 1.5
 # A prompt is long if its own prefill takes more than this fraction of the target time: no engine
 # could answer it as quickly as a usual one, and the longest tenth of the prompts is to be served
--- a/sparline/decisions/_region_refusals.py
+++ b/sparline/decisions/_region_refusals.py
@@ -1,9 +1,9 @@
 """Regions that are skipped for short requests because they have just rejected a similar one.
 
-Guards against all regions being full at once. The known load of another region is a second old, and
-an engine there that has caught up looks idle, so that each request would be relayed there and
-rejected a tenth of a second later. Only the load of short requests is reported that late; long
-prefills are reported at once.
+Guards against useless relaying while all regions are full. The known load of another region is a
+second old, and an engine there that had worked off its queue by then looks idle: each request would
+be relayed there and rejected a tenth of a second later. Only the load of short requests is reported
+that late; long prefills are reported at once.
 """
 
 from sparline._ids import RegionName
@@ -17,7 +17,7 @@
 
 
 class RegionRefusals:
-    """Remember what other regions rejected; the caller passes the time in.
+    """Remembers what other regions rejected; the caller passes the current time in (`now`, ms).
 
     Lower priority numbers are more urgent, as in requests. A region without room for a request may
     have some for a more urgent one.
--- a/sparline/decisions/_return_time.py
+++ b/sparline/decisions/_return_time.py
@@ -9,9 +9,9 @@
 # Bounds of the Retry-After of a rejected request, which is how late it would have been (ms).
 MIN_RETRY_AFTER_MS = 150.0
 MAX_RETRY_AFTER_MS = 1_500.0
-# Where no server can run a request, the Retry-After is this fraction of the time that the caller
-# has left, the longest that callers heed, within these bounds (ms): such a state lasts for seconds,
-# and a caller that retries during it has used up its last attempt.
+# If no server can run a request, the Retry-After is this fraction of the time that the caller has
+# left, which is the longest wait that callers respect, within these bounds (ms): such a state lasts
+# for seconds, and a caller that retries during it has used up its last attempt.
 UNSERVED_WAIT_SHARE = 1 / 3
 MIN_UNSERVED_WAIT_MS = 500.0
 MAX_UNSERVED_WAIT_MS = 5_000.0
--- a/sparline/placement/_cold_shares.py
+++ b/sparline/placement/_cold_shares.py
@@ -27,7 +27,7 @@
         own_ip: str,
         sharers: Sharers,
         is_settled: IsSettled = lambda: True,
-        on_use: Callable[[ColdRequest], None] = lambda _use: None,
+        on_use: Callable[[ColdRequest], None] = lambda _request: None,
     ) -> None:
         """Share with the instances of this region.
 
--- a/sparline/placement/_demand.py
+++ b/sparline/placement/_demand.py
@@ -16,7 +16,8 @@
 USUAL_WEIGHT = 0.02
 # Half-life of the arrived value (ms): a burst is seen within a second.
 HALF_LIFE_MS = 1_000.0
-# A sum that decays with a half-life equals the rate times this many half-lives, 1 / ln 2.
+# At a constant rate, a sum that decays with a half-life equals the rate times this many half-lives
+# (1 / ln 2).
 HALF_LIVES_PER_SUM = 1.4427
 
 
--- a/sparline/placement/_fit.py
+++ b/sparline/placement/_fit.py
@@ -50,6 +50,7 @@
             factor = rows[other][pivot]
             if other != pivot and factor:
                 rows[other] = [
-                    one - factor * by for one, by in zip(rows[other], rows[pivot], strict=True)
+                    one - factor * pivot_one
+                    for one, pivot_one in zip(rows[other], rows[pivot], strict=True)
                 ]
     return tuple(row[-1] for row in rows)
--- a/sparline/placement/_health.py
+++ b/sparline/placement/_health.py
@@ -36,7 +36,7 @@
     """Observations of one server by this instance."""
 
     failing: float = 0.0  # exponentially weighted share of failures
-    skip_until_ms: float = 0.0  # until when it is a last resort
+    skip_until_ms: float = 0.0  # until when it is used only if there is no other
     is_probed: bool = False  # whether one request probes it after that
     full_until_ms: float = 0.0  # until when it counts as full
     backoff_until_ms: float = 0.0  # end of the wait requested through Retry-After
@@ -96,7 +96,7 @@
             observed.skip_until_ms = 0.0
 
     def note_placed(self, server_id: BackendServerId) -> None:
-        """Record that a request will be sent; on a server that failed, it is the only probe."""
+        """Record that a request will be sent; if the server was skipped, as its only probe."""
         observed = self._of(server_id)
         if observed.skip_ms:
             observed.is_probed = True
@@ -145,8 +145,8 @@
 
     def _skip(self, server_id: BackendServerId, observed: _Observations, why: str) -> None:
         if now_ms() < observed.skip_until_ms and not observed.is_probed:
-            # All streams of an engine that crashes break at once: that counts as one failure in a
-            # row.
+            # All streams of an engine that crashes break at once: only the first failure doubles the
+            # time.
             return
         longer_ms = min(observed.skip_ms * 2, MAX_SKIP_MS)
         observed.skip_ms = max(longer_ms, MIN_SKIP_MS)
@@ -190,7 +190,7 @@
         return observed is not None and now_ms() < observed.misdirected_until_ms
 
     def usable(self, server_id: BackendServerId) -> bool:
-        """Tell whether a server may be used without reservation."""
+        """Tell whether a server is healthy and not full, as far as is known."""
         observed = self._observations.get(server_id)
         if observed is None:
             return True
@@ -210,7 +210,7 @@
         self._observations = {
             one: observed
             for one, observed in self._observations.items()
-            # A server whose entry expires and reappears must still be in backoff.
+            # The backoff must outlast a server whose entry expires and reappears.
             if one in known or now < observed.backoff_until_ms
         }
 
@@ -223,5 +223,5 @@
         since_ms = max(observed.heard_at_ms, observed.waiting_since_ms)
         if now - since_ms <= UNRESPONSIVE_MS:
             return False
-        # What this process could not receive while it was suspended is no silence of the server.
+        # While this process was suspended it received nothing, which does not count as silence.
         return now - self._thawed_at_ms() > UNRESPONSIVE_MS
--- a/sparline/placement/_limit_shares.py
+++ b/sparline/placement/_limit_shares.py
@@ -10,7 +10,7 @@
 
 
 class LimitShares:
-    """Enforce the limits of backend servers, shared between the instances of a region."""
+    """Enforces the limits of backend servers, shared between the instances of a region."""
 
     def __init__(self, limits: ServerLimitTable, shares: RateShares) -> None:
         """Enforce `limits` for servers of this instance's region, divided by `shares`."""
--- a/sparline/placement/_loads.py
+++ b/sparline/placement/_loads.py
@@ -44,7 +44,7 @@
         unread_tokens: int,
         on_change: Callable[[LoadOf, float | None], None],
     ) -> None:
-        """Count it; `on_change` gets each load change and what a prefill showed of the server."""
+        """Count it; `on_change` gets each load change, with the log factor of a measured prefill."""
         self._load = load
         self._on_change = on_change
         self._held_tokens = held_tokens
@@ -61,10 +61,10 @@
 
         `log_factor` is the result of `PaceTable.note_first_event`.
         """
-        read, self._unread_tokens = self._unread_tokens, 0
-        if read:
-            self._load.unread_tokens -= read
-            self._on_change(LoadOf(0, 0, -read), log_factor)
+        prefilled, self._unread_tokens = self._unread_tokens, 0
+        if prefilled:
+            self._load.unread_tokens -= prefilled
+            self._on_change(LoadOf(0, 0, -prefilled), log_factor)
 
     def release(self) -> None:
         """Count the request as ended; further calls have no effect."""
@@ -86,8 +86,8 @@
         """Start without load.
 
         `reported` returns the reported load of all instances on a server, including this one;
-        `note_change` gets each change of this instance's part, and what a prefill showed of the
-        server.
+        `note_change` gets each change of this instance's part, with the log factor of a measured
+        prefill.
         """
         self._note_change = note_change
         self._own: dict[BackendServerId, OwnLoad] = {}
@@ -141,7 +141,7 @@
         }
 
     def forget_old(self) -> None:
-        """Forget servers without requests for a long time."""
+        """Forget servers that have had no request for `IDLE_TTL_MS`."""
         since = now_ms() - IDLE_TTL_MS
         self._own = {
             one: load for one, load in self._own.items() if load.running or load.used_at_ms >= since
--- a/sparline/placement/_pace.py
+++ b/sparline/placement/_pace.py
@@ -21,8 +21,8 @@
 # The prefill time of a request is used for its service only if the prefill queued before it is at
 # most this fraction of its own, because progress of the queue is not reported.
 MAX_QUEUED_RATIO = 0.1
-# Queued prefills up to this length do not disqualify a measurement (tokens): they mainly show the
-# time apart from prefill.
+# Queued prefills up to this length do not disqualify a measurement (tokens): such measurements
+# mainly show the time apart from prefill.
 MAX_IGNORED_QUEUE_TOKENS = 500
 # Weight of one more time in an engine's own factor: about the last five count.
 ENGINE_WEIGHT = 0.2
@@ -36,8 +36,8 @@
 # The same bound for the estimate of a service: work that other instances have sent to an engine but
 # not reported yet can only make the time longer.
 MAX_SERVICE_FACTOR = 2.0
-# Minimum prefix length that doubles the prefill time of a token (tokens): otherwise short prompts
-# with an unreported wait look like long ones that are prefilled slowly.
+# Lower bound of the estimated prefix length that doubles the prefill time of a token (tokens):
+# without it, short prompts with an unreported wait look like long ones that are prefilled slowly.
 MIN_DOUBLING_TOKENS = 12_000
 # Minimum time for a million pairs (ms), to avoid a division by zero for engines that hide it.
 MIN_MPAIR_MS = 1e-6
@@ -48,8 +48,8 @@
 INITIAL_ANSWER_MS = 45.0
 # Weight of one more complete answer.
 ANSWER_WEIGHT = 0.05
-# Before the first stream has ended: the maximum time of an output token (ms), of which the usual
-# time is half. A planned stop may happen before any stream.
+# Initial maximum time of an output token (ms), of which the usual time is half. A planned stop needs
+# the maximum, and may happen before any stream has ended.
 INITIAL_MAX_TOKEN_MS = 15.0
 # Almost no output token takes longer than the mean and this many mean deviations.
 MAX_DEVIATIONS = 3.0
--- a/sparline/placement/_pauses.py
+++ b/sparline/placement/_pauses.py
@@ -174,8 +174,8 @@
 def _predicted_late_share(stats: _GapStats, target_ms: float, prefill_ms: float) -> float:
     """Return the share of late streams predicted from gap lengths."""
     max_ms = math.inf if stats.max_ms is None else max(stats.max_ms, stats.base_ms)
-    # A prefill may be split over two gaps; that other instances start more at the same time is as
-    # likely.
+    # The whole prefill is taken to fall into one gap: it may be split over two, but it is as likely
+    # that other instances start more prefills at the same time.
     expected_ms = min(stats.base_ms + prefill_ms, max_ms)
     deviation_ms = max(stats.deviation_ms, MIN_DEVIATION * target_ms)
     return _normal_probability((expected_ms - target_ms) / deviation_ms)
--- a/sparline/placement/_place_judge.py
+++ b/sparline/placement/_place_judge.py
@@ -33,7 +33,7 @@
 # its bytes between availability zones.
 OTHER_REGION_LOSS = 0.03
 OTHER_ZONE_LOSS = 0.02
-# Loss for a certain failure, relative to the credit of a request.
+# Loss at a failure probability of one, relative to the credit of a request.
 FAILURE_LOSS = 1.5
 # A failure share that exceeds the median of the candidates by up to this much is not significant:
 # it covers the last ten requests only, and fluctuates.
@@ -44,10 +44,10 @@
 MEMORY_LOSS = 1.0
 # Time of a request and its response apart from all waiting (ms).
 EXCHANGE_MS = 8.0
-# A prefill delays all arrivals until its engine is idle again. If an engine is half busy and loss
-# grows with the square of the time, the value that arrives during a prefill loses this many times
-# the square of the queueing time relative to the target: when an engine crashes and the rest are
-# overloaded, long requests are rejected first.
+# A prefill delays all arrivals until its engine is idle again. Their loss is the value that arrives
+# during the prefill, times the square of the ratio of queueing time to target, times this weight,
+# which holds for an engine that is half busy and a loss that grows with the square of the time. When
+# an engine crashes and the rest are overloaded, long requests are thus rejected first.
 DISPLACEMENT_WEIGHT = 2.0
 # Loss reduction for the owner of a prefix, so that instances that place requests with it at the
 # same moment, before any has reported, choose the same engine.
--- a/sparline/placement/_rate_shares.py
+++ b/sparline/placement/_rate_shares.py
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _LastSend:
-    """Hold the latest request from this instance to a server."""
+    """Latest request from this instance to a server."""
 
     at_ms: float  # when it was sent
     sharers: int  # instances that shared the rate at that time
 
 
 class RateShares:
-    """Space out the requests of this instance to servers with a limited rate."""
+    """Spaces out the requests of this instance to servers with a limited rate."""
 
     def __init__(self, own_ip: str, sharers: Sharers, is_settled: IsSettled) -> None:
         """Share rates with the instances of this region.
--- a/sparline/placement/_server_limits.py
+++ b/sparline/placement/_server_limits.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLimit:
-    """Hold the request rate limit in a backend server's latest answer."""
+    """Request rate limit in a backend server's latest answer."""
 
     server_id: BackendServerId
     per_s: float | None  # requests per second from all instances together, None if unlimited
@@ -30,7 +30,7 @@
 
 
 class ServerLimitTable:
-    """Hold the latest limit of each known backend server that has set one."""
+    """Holds the latest limit of each known backend server that has set one."""
 
     def __init__(self, on_change: Callable[[ServerLimit], None] = lambda _limit: None) -> None:
         """Start empty; `on_change` is called when a limit is added, changed or removed."""
--- a/sparline/placement/tests/test_cold_shares.py
+++ b/sparline/placement/tests/test_cold_shares.py
@@ -1,18 +1,12 @@
 """A cold server's rate holds over all instances, including those that have just started.
 
-Guards against a cold backend server, which takes 4 requests a second and at most 9 in any one
-second, getting 11 in a second and then answering no one.
-
-It happened when all 79 instances restarted after a power loss, within about a second of each other,
-as fast as each processor allowed, while a backend server was cold. They accept requests as soon as
-they have the configuration, 0.02 to 0.08 s after their start. The rate is divided between the known
-instances of the region, and an unknown instance counts as absent: an instance that knows no others
-uses the whole rate, and one that knows up to three always has a share.
-
-In a run with 26 instances a region, one cold server got 9 requests in a second from 8 instances, of
-which the first sent two within 0.34 s, the interval of a lone instance. The instances of the region
-met each other only 0.5 to 1.5 s after their start. The server's entries said throughout that it was
-cold (1,889 ms left, then 793 ms), so that no instance took it for warm.
+Guards against a cold server, which takes 4 requests a second and at most 9 in any one second,
+getting 11 in a second and then answering none. The rate is divided between the known instances of
+the region: one that knows no others uses the whole rate, and one that knows up to three always has
+a share. After a power loss 79 instances started within about a second, accepted requests 0.02 to
+0.08 s after their start, and knew each other only after 0.5 to 1.5 s. In a run with 26 instances a
+region, 8 of them sent a cold server 9 requests in a second, the first one two within 0.34 s, the
+interval of a lone instance; all of them knew that the server was cold.
 """
 
 import random
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -115,9 +115,9 @@
     pace = PaceTable()
     chance = random.Random(4)
     for _ in range(80):
-        unread, kept = chance.choice(((2_000, 0), (2_000, 12_000), (12_000, 0), (6_000, 9_000)))
+        unread, cached = chance.choice(((2_000, 0), (2_000, 12_000), (12_000, 0), (6_000, 9_000)))
         # 50 tokens a millisecond, also behind a prefix.
-        pace.note_first_event(ENGINES, N1.id, PrefillWork(0, unread, kept), 20 + unread / 50)
+        pace.note_first_event(ENGINES, N1.id, PrefillWork(0, unread, cached), 20 + unread / 50)
     assert pace.service(ENGINES).effort_tokens(10_000, 20_000) < 11_500
     assert PaceTable().service(ENGINES).effort_tokens(10_000, 20_000) > 16_000
 
@@ -170,7 +170,7 @@
 
 
 OUTCOMES = [
-    # prefill times (ms) and how many of 100 were late; bounds of the share then expected at 350 ms
+    # prefill times (ms) and how many of 100 were late; bounds of the share expected at 350 ms
     ("no outcomes", [], 0.3, 0.7),
     ("harmful prefills", [(350.0, 90)], 0.8, 0.95),
     ("harmless prefills", [(350.0, 0)], 0.0, 0.05),
@@ -239,25 +239,29 @@
         self.watch = StreamWatch(tables, request, make_placement(**changes), reservation)
 
         self.noted: list[tuple[str, int]] = []
-        self.pauses.note_base_gap = lambda _s, _w, _r, pause: self.noted.append(("quiet", pause))
-        self.pauses.note_gap_during_prefill = lambda _s, _w, pause: self.noted.append(
-            ("covered", pause)
+        self.pauses.note_base_gap = lambda _service, _target, _prefill, gap: self.noted.append(
+            ("base", gap)
+        )
+        self.pauses.note_gap_during_prefill = lambda _service, _target, gap: self.noted.append(
+            ("during prefill", gap)
+        )
+        self.pauses.note_outcome = lambda _service, _target, _prefill, late: self.noted.append(
+            ("late", late)
         )
-        self.pauses.note_outcome = lambda _s, _w, _r, late: self.noted.append(("late", late))
 
 
 # Times of a stream's events (ms); when another prompt is sent to the engine (ms), its tokens, and
-# the tokens queued before it; the recorded calls. By the initial estimate 1,000 tokens take 20 ms.
+# the tokens queued before it; the recorded calls with their gap (ms) or whether it was late. By the initial estimate 1,000 tokens take 20 ms.
 GAP_CASES = [
     ("no prefill", (100, 200, 300), None, 0, 0, []),
-    ("short prefill", (100, 200, 300, 400), 150, 500, 0, [("quiet", 100), ("late", False)]),
+    ("short prefill", (100, 200, 300, 400), 150, 500, 0, [("base", 100), ("late", False)]),
     (
         "long prefill",
         (100, 200, 400, 500),
         150,
         30_000,
         0,
-        [("quiet", 100), ("covered", 200), ("late", False)],
+        [("base", 100), ("during prefill", 200), ("late", False)],
     ),
     (
         "prefill that certainly ends before a late event",
@@ -265,7 +269,7 @@
         150,
         30_000,
         0,
-        [("quiet", 100), ("late", True)],
+        [("base", 100), ("late", True)],
     ),
     (
         "queued behind a prefill of unknown progress",
@@ -273,9 +277,9 @@
         150,
         30_000,
         20_000,
-        [("covered", 200), ("late", False)],
+        [("during prefill", 200), ("late", False)],
     ),
-    ("in the last gap", (100, 200), 150, 30_000, 0, [("quiet", 100)]),
+    ("in the last gap", (100, 200), 150, 30_000, 0, [("base", 100)]),
 ]
 
 
@@ -345,6 +349,6 @@
     pauses.note_gap_during_prefill(ENGINES, PAUSE_MS, 120.0)
     logged = json.loads(json.dumps([pace.learned(), pauses.learned()]))
     assert len(logged[0][ENGINES]) == 3
-    quiet_ms, deviation_ms, most_ms, *shares = logged[1]["engines/400"]
-    assert (quiet_ms, deviation_ms, most_ms) == (60, 60, 116)
+    base_ms, deviation_ms, max_ms, *shares = logged[1]["engines/400"]
+    assert (base_ms, deviation_ms, max_ms) == (60, 60, 116)
     assert shares == sorted(shares)
--- a/sparline/placement/tests/test_server_limits.py
+++ b/sparline/placement/tests/test_server_limits.py
@@ -115,7 +115,7 @@
 
 @dataclass
 class LimitedServer:
-    """Answer the instances of the first region without delay, with a limit or none."""
+    """Answers the instances of the first region without delay, with a limit or none."""
 
     per_s: float | None = RATE_PER_S
     answered: set[str] = field(default_factory=set)  # instances that have had an answer
