--- a/sparline/decisions/tests/test_decisions.py
+++ b/sparline/decisions/tests/test_decisions.py
@@ -56,10 +56,10 @@
     assert refusal_reason(facts(**changes)) is why
 
 
-RETURNS = [(1_000.0, 200.0), (900.0, 150.0), (500.0, 150.0), (9_000.0, 1_500.0)]
+RETRY_AFTERS = [(1_000.0, 200.0), (900.0, 150.0), (500.0, 150.0), (9_000.0, 1_500.0)]
 
 
-@pytest.mark.parametrize(("expected_ms", "after_ms"), RETURNS)
+@pytest.mark.parametrize(("expected_ms", "after_ms"), RETRY_AFTERS)
 def test_retry_after_follows_expected_lateness(expected_ms, after_ms):
     assert refusal_retry_after_ms(RefusalFacts(800.0, expected_ms, 4_000.0)) == after_ms
 
--- a/sparline/placement/_choice.py
+++ b/sparline/placement/_choice.py
@@ -37,15 +37,15 @@
     """Chooses a server for each request."""
 
     def __init__(
-        self, place: InstanceLocation, tables: PlacementTables, rng: random.Random
+        self, location: InstanceLocation, tables: PlacementTables, rng: random.Random
     ) -> None:
-        """Choose for the callers of an instance at a given place."""
-        self._region = place.region
+        """Choose for the callers of an instance at a location."""
+        self._region = location.region
         self._tables = tables
         self._rng = rng
-        self._estimator = LossEstimator(place, tables, rng)
+        self._estimator = LossEstimator(location, tables, rng)
         self._refusals = RegionRefusals()
-        self._shortlist = Shortlist(place.region, rng)
+        self._shortlist = Shortlist(location.region, rng)
 
     def choose(
         self,
@@ -66,12 +66,12 @@
         all_servers = self._tables.fleet.by_service.get(request.service, [])
         shortlisted = self._shortlist.of(request, all_servers)
         has_begun = has_begun or request.resume_after is not None
-        servers = self._servers(request, service, shortlisted, excluded)
+        servers = self._eligible_servers(request, service, shortlisted, excluded)
         if not has_begun:
             servers = self._without_full(request, servers)
         if not servers and len(shortlisted) < len(all_servers):
             # No server on the shortlist may be used: consider all of them.
-            servers = self._servers(request, service, all_servers, excluded)
+            servers = self._eligible_servers(request, service, all_servers, excluded)
         if not servers:
             wait_ms = unserved_wait_ms(
                 request.left_ms(), self._shortest_backoff_ms(request, all_servers)
@@ -116,7 +116,7 @@
         request_value = tables.demand.request_value(request, request.prompt)
         return rate * tables.sharing() / max(len(here), 1) / request_value
 
-    def _servers(
+    def _eligible_servers(
         self,
         request: RoutedRequest,
         service: Service,
--- a/sparline/placement/_health.py
+++ b/sparline/placement/_health.py
@@ -182,7 +182,7 @@
     def is_unresponsive(self, server_id: BackendServerId) -> bool:
         """Tell whether a server with pending requests has sent nothing for too long."""
         observed = self._observations.get(server_id)
-        return observed is not None and self._is_silent(observed, now_ms())
+        return observed is not None and self._is_unresponsive(observed, now_ms())
 
     def is_misdirected(self, server_id: BackendServerId) -> bool:
         """Tell whether another server has the address, so that each request would be refused."""
@@ -215,9 +215,9 @@
         }
 
     def _is_doubted(self, observed: _Observations, now: float) -> bool:
-        return now < observed.skip_until_ms or self._is_silent(observed, now)
+        return now < observed.skip_until_ms or self._is_unresponsive(observed, now)
 
-    def _is_silent(self, observed: _Observations, now: float) -> bool:
+    def _is_unresponsive(self, observed: _Observations, now: float) -> bool:
         if not observed.waiting:
             return False
         since_ms = max(observed.heard_at_ms, observed.waiting_since_ms)
--- a/sparline/placement/_pace.py
+++ b/sparline/placement/_pace.py
@@ -160,7 +160,7 @@
         expected_ms = max(pace.base_ms + (work.queued_tokens + effort) * pace.token_ms, 1.0)
         ratio = min(max(took_ms / expected_ms, 1 / MAX_FACTOR), MAX_FACTOR)
         if work.queued_tokens <= max(MAX_QUEUED_RATIO * effort, MAX_IGNORED_QUEUE_TOKENS):
-            self._note_own_reading(service, work, effort, took_ms)
+            self._note_service_prefill(service, work, effort, took_ms)
         elif ratio < 1:
             # The queue had progressed further than reported: the engine is not fast.
             return None
@@ -181,7 +181,7 @@
             previous_log + ENGINE_WEIGHT * log_change, now_ms()
         )
 
-    def _note_own_reading(
+    def _note_service_prefill(
         self, service: ServiceName, work: PrefillWork, effort: int, took_ms: float
     ) -> None:
         """Update the estimate for a service's usual engine."""
--- a/sparline/placement/_place_judge.py
+++ b/sparline/placement/_place_judge.py
@@ -126,10 +126,10 @@
     """Estimates the loss of requests of one region at a server."""
 
     def __init__(
-        self, place: InstanceLocation, tables: PlacementTables, rng: random.Random
+        self, location: InstanceLocation, tables: PlacementTables, rng: random.Random
     ) -> None:
         """Estimate from the tables of one instance."""
-        self._place = place
+        self._location = location
         self._tables = tables
         self._rng = rng
 
@@ -143,7 +143,7 @@
         """Return the placement at a server with its loss, None if no instance can send it there."""
         peer = None
         network_ms = 0.0
-        if server.region != self._place.region:
+        if server.region != self._location.region:
             peers = common.peers_in(server.region)
             if not peers:
                 return None
@@ -177,7 +177,7 @@
         if server.id not in common.healthy:
             return Doubt.PASSED_OVER
         # A server that is down reports no load and looks best from another region.
-        is_remote = server.region != self._place.region
+        is_remote = server.region != self._location.region
         return (
             Doubt.PASSED_OVER
             if is_remote and self._tables.is_doubted_by_region(server.id)
@@ -188,9 +188,9 @@
         """Return the loss from failures and network distance, less the gain of a prefix's owner."""
         failing = self._tables.health.failing(server.id) - common.usual_failing
         loss = FAILURE_LOSS * max(failing - FAILURE_TOLERANCE, 0.0)
-        if server.region != self._place.region:
+        if server.region != self._location.region:
             loss += OTHER_REGION_LOSS
-        elif server.zone != self._place.zone:
+        elif server.zone != self._location.zone:
             loss += OTHER_ZONE_LOSS
         if server.id == common.cached_prefix.prefill_owner:
             loss -= FLEET_OWNER_GAIN if common.cached_prefix.fleet_wide else OWNER_GAIN
--- a/sparline/placement/_prompt_cache.py
+++ b/sparline/placement/_prompt_cache.py
@@ -58,7 +58,7 @@
         self._sharing = sharing
         self._filled: dict[BackendServerId, int] = {}
         self._cache_sizes: dict[BackendServerId, int] = {}
-        self._owners_have_read = owners_have_cached
+        self._owners_have_cached = owners_have_cached
         self._prefixes: dict[BackendServerId, OrderedDict[str, int]] = {}
         self._prefix_tokens: dict[BackendServerId, int] = {}
         self._to_report: dict[tuple[int, str], float] = {}
@@ -157,7 +157,7 @@
         """Tell whether the owner of a prefix is taken to have cached it without any report."""
         if prompt.shared_tokens < MIN_FLEET_WIDE_TOKENS:
             return True
-        return self._owners_have_read and _hash(prompt) not in self._use_counts
+        return self._owners_have_cached and _hash(prompt) not in self._use_counts
 
     def forget_all_but(self, known: set[BackendServerId]) -> None:
         """Forget engines that are gone."""
--- a/sparline/placement/_stream_watch.py
+++ b/sparline/placement/_stream_watch.py
@@ -91,18 +91,18 @@
 
     def _note_prefill_speed(self) -> float | None:
         """Learn how fast the engine prefills, unless something else delayed the request."""
-        place = self._placement
+        placement = self._placement
         prompt = self._request.prompt
-        if prompt is None or place.source is not None or place.waits:
+        if prompt is None or placement.source is not None or placement.waits:
             return None
         prefill = PrefillWork(
-            queued_tokens=place.load.unread_tokens,
-            unread_tokens=place.unread_tokens,
-            cached_tokens=prompt.tokens - place.unread_tokens,
+            queued_tokens=placement.load.unread_tokens,
+            unread_tokens=placement.unread_tokens,
+            cached_tokens=prompt.tokens - placement.unread_tokens,
         )
         took_ms = now_ms() - self._sent_at_ms
         pace = self._tables.pace
-        return pace.note_first_event(self._request.service, place.server.id, prefill, took_ms)
+        return pace.note_first_event(self._request.service, placement.server.id, prefill, took_ms)
 
     def _note_gap(self, gap_ms: float) -> None:
         """Learn from a gap in which this instance sent a prompt, and from the next one."""
--- a/sparline/placement/tests/test_choice.py
+++ b/sparline/placement/tests/test_choice.py
@@ -34,7 +34,7 @@
 from sparline.tests.routed import ENGINES, PLAIN, make_request, make_route, make_rules, make_server
 
 NORTH, SOUTH = RegionName("north"), RegionName("south")
-PLACE = InstanceLocation(NORTH, ZoneName("north-1"))
+LOCATION = InstanceLocation(NORTH, ZoneName("north-1"))
 ZONES = {ZoneName("north-1"): NORTH, ZoneName("south-1"): SOUTH}
 N1, N2, N3 = make_server("n1"), make_server("n2"), make_server("n3")
 S1 = make_server("s1", "south")
@@ -65,7 +65,7 @@
         peers = [Member(note, now_ms(), now_ms())] if far_peers else []
         self.tables = PlacementTables(
             fleet=self.fleet,
-            loads=LoadTable(NORTH, self.loads.get, lambda _one, _change, _shown: None),
+            loads=LoadTable(NORTH, self.loads.get, lambda _one, _change, _log_factor: None),
             health=self.health,
             cold=ColdShares("own", lambda: ["own"]),
             limits=LimitShares(self.limits, RateShares("own", lambda: ["own"], lambda: True)),
@@ -80,15 +80,17 @@
             load_age_ms=lambda _one: 100.0,
             is_doubted_by_region=lambda one: one in self.doubted_there,
         )
-        self.chooser = Chooser(PLACE, self.tables, random.Random(1))
+        self.chooser = Chooser(LOCATION, self.tables, random.Random(1))
 
     def choose(self, request, excluded=()) -> str:
-        place = self.chooser.choose(request, frozenset(BackendServerId(one) for one in excluded))
-        if isinstance(place, Refusal):
-            return f"refused: {place.reason.value}"
-        assert isinstance(place, Placement)
-        assert (place.peer is not None) == (place.server.region != NORTH)
-        return place.server.id
+        placement = self.chooser.choose(
+            request, frozenset(BackendServerId(one) for one in excluded)
+        )
+        if isinstance(placement, Refusal):
+            return f"refused: {placement.reason.value}"
+        assert isinstance(placement, Placement)
+        assert (placement.peer is not None) == (placement.server.region != NORTH)
+        return placement.server.id
 
 
 def fail_often(world: World) -> None:
@@ -258,23 +260,23 @@
     services = world.fleet.configuration.services
     services[ENGINES] = dataclasses.replace(services[ENGINES], engine=FETCHING)
     cache_long_prefix_at(holder)(world)
-    told_at_ms = now_ms()
-    monkeypatch.setattr(_prompt_cache, "now_ms", lambda: told_at_ms + cached_ms)
+    reported_at_ms = now_ms()
+    monkeypatch.setattr(_prompt_cache, "now_ms", lambda: reported_at_ms + cached_ms)
     if loads == "failing":
         fail_often(world)
     else:
         world.loads.update(loads)
-    place = world.chooser.choose(make_request(prompt=LONG), frozenset())
-    source = place.source.id if place.source else None
-    assert (place.server.id, source, place.unread_tokens) == expected
+    placement = world.chooser.choose(make_request(prompt=LONG), frozenset())
+    source = placement.source.id if placement.source else None
+    assert (placement.server.id, source, placement.unread_tokens) == expected
 
 
 def test_engines_without_fetch_support_do_not_fetch():
     world = World(N1, N2)
     cache_long_prefix_at(N1)(world)
     world.loads["n1"] = BUSY
-    place = world.chooser.choose(make_request(prompt=LONG), frozenset())
-    assert (place.server.id, place.source, place.unread_tokens) == ("n2", None, 17_000)
+    placement = world.chooser.choose(make_request(prompt=LONG), frozenset())
+    assert (placement.server.id, placement.source, placement.unread_tokens) == ("n2", None, 17_000)
 
 
 def test_evacuated_zone_gets_no_requests():
@@ -286,12 +288,12 @@
 def test_requests_above_cold_rate_go_to_other_servers():
     world = World(COLD, S1)
     request = make_request()
-    places = []
+    server_ids = []
     for _ in range(3):
-        place = world.chooser.choose(request, frozenset())
-        world.chooser.note_sent(request, place)
-        places.append(place.server.id)
-    assert places == ["n1", "s1", "s1"]
+        placement = world.chooser.choose(request, frozenset())
+        world.chooser.note_sent(request, placement)
+        server_ids.append(placement.server.id)
+    assert server_ids == ["n1", "s1", "s1"]
 
 
 def test_plain_request_avoids_full_server():
@@ -326,14 +328,14 @@
 ]
 
 
-@pytest.mark.parametrize(("assumed", "reported", "taken"), OWNER_CASES)
-def test_owner_is_taken_to_have_cached_only_without_reports(assumed, reported, taken):
+@pytest.mark.parametrize(("assumed", "reported", "expected"), OWNER_CASES)
+def test_owner_is_taken_to_have_cached_only_without_reports(assumed, reported, expected):
     cache = PromptCache(owners_have_cached=assumed)
     other = PromptCache(owners_have_cached=False)
     other.note(LONG, N1.id, 300_000)
     if reported:
         cache.merge_prefix_uses(other.recent_prefix_uses())
-    assert cache.owner_has_cached(LONG) is taken
+    assert cache.owner_has_cached(LONG) is expected
     assert cache.cached_tokens(LONG, N1.id) == (13_000 if reported else 0)
 
 
@@ -366,13 +368,15 @@
 
 
 @pytest.mark.parametrize(
-    ("taken", "sharing", "kept"), [row[1:] for row in REFILLS], ids=[row[0] for row in REFILLS]
+    ("sent_tokens", "sharing", "is_cached"),
+    [row[1:] for row in REFILLS],
+    ids=[row[0] for row in REFILLS],
 )
-def test_long_prefix_counts_as_cached_until_cache_is_refilled(taken, sharing, kept):
+def test_long_prefix_counts_as_cached_until_cache_is_refilled(sent_tokens, sharing, is_cached):
     cache = PromptCache(owners_have_cached=False, sharing=lambda: sharing)
     cache.note(LONG, N1.id, 20_000)
-    cache.note(Prompt(taken, 0, ()), N1.id, 20_000)
-    assert cache.cached_tokens(LONG, N1.id) == (13_000 if kept else 0)
+    cache.note(Prompt(sent_tokens, 0, ()), N1.id, 20_000)
+    assert cache.cached_tokens(LONG, N1.id) == (13_000 if is_cached else 0)
 
 
 EFFORTS = [
@@ -384,10 +388,10 @@
 ]
 
 
-@pytest.mark.parametrize(("unread", "kept", "effort"), EFFORTS)
-def test_prefill_takes_longer_behind_a_long_prefix(unread, kept, effort):
+@pytest.mark.parametrize(("prefilled", "cached", "effort"), EFFORTS)
+def test_prefill_takes_longer_behind_a_long_prefix(prefilled, cached, effort):
     # By the initial estimate: 20 ms for 1,000 tokens, 0.5 ms for a million pairs.
-    assert PaceTable().service(ENGINES).effort_tokens(unread, kept) == effort
+    assert PaceTable().service(ENGINES).effort_tokens(prefilled, cached) == effort
 
 
 def test_number_of_kept_reports_is_bounded(monkeypatch):
@@ -405,16 +409,16 @@
     reported = []
     for _ in range(40):
         at_ms[0] += 250
-        for teller, taker in zip(caches, [*caches[1:], caches[0]], strict=True):
-            notes = teller.recent_prefix_uses()
+        for sender, receiver in zip(caches, [*caches[1:], caches[0]], strict=True):
+            notes = sender.recent_prefix_uses()
             reported.append(len(notes))
-            taker.merge_prefix_uses(notes)
+            receiver.merge_prefix_uses(notes)
     assert all(cache.cached_tokens(LONG, N1.id) for cache in caches)
     assert sum(reported) < 6 * 11 and not any(reported[-6:])
 
 
 def test_each_use_of_a_prefix_is_reported_again(monkeypatch):
-    # A prefix counts as cached until its engine has taken in enough tokens since its last use.
+    # A prefix counts as cached until its engine has received enough tokens since its last use.
     at_ms = [1_000_000.0]
     monkeypatch.setattr(_prompt_cache, "now_ms", lambda: at_ms[0])
     cache, peer = (PromptCache(owners_have_cached=False) for _ in range(2))
@@ -431,9 +435,9 @@
     # The near engine is late; the far one looks idle because its known load is outdated.
     world.loads["n1"] = LATE
     request = make_request(make_route(priority=1))
-    place = world.chooser.choose(request, frozenset())
-    assert place.server is S1
-    world.chooser.note_region_full(request, place)
+    placement = world.chooser.choose(request, frozenset())
+    assert placement.server is S1
+    world.chooser.note_region_full(request, placement)
     assert world.choose(request) == "refused: deadline_unreachable"
     assert world.choose(make_request(make_route(priority=0))) == "s1"
     # A stream that has begun is continued wherever possible.
@@ -452,9 +456,9 @@
     world.limits.note_answer(N1.id, 1.0)
     sent = []
     for _ in range(20):
-        place = world.chooser.choose(make_request(), frozenset())
-        world.chooser.note_sent(make_request(), place)
-        sent.append(place.server.id)
+        placement = world.chooser.choose(make_request(), frozenset())
+        world.chooser.note_sent(make_request(), placement)
+        sent.append(placement.server.id)
     assert sent.count(N1.id) <= 1
 
 
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -25,7 +25,7 @@
 
 N1, N2 = make_server("n1"), make_server("n2")
 NORTH = RegionName("north")
-PAUSE_MS = 400.0
+GAP_TARGET_MS = 400.0
 
 
 @pytest.fixture
@@ -149,23 +149,23 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "covered", "prefill_ms", "least", "most"),
+    ("name", "gaps_ms", "prefill_ms", "least", "most"),
     LATE_SHARES,
     ids=[row[0] for row in LATE_SHARES],
 )
-def test_late_share_follows_observed_gaps(name, covered, prefill_ms, least, most):
+def test_late_share_follows_observed_gaps(name, gaps_ms, prefill_ms, least, most):
     pauses = GapTable()
     for _ in range(100):
-        pauses.note_base_gap(ENGINES, PAUSE_MS, 20.0, 50.0)
-    for pause_ms in covered * (1 if len(covered) > 1 else 100):
-        pauses.note_gap_during_prefill(ENGINES, PAUSE_MS, pause_ms)
-    assert least <= pauses.late_share(ENGINES, PAUSE_MS, prefill_ms) <= most
+        pauses.note_base_gap(ENGINES, GAP_TARGET_MS, 20.0, 50.0)
+    for gap_ms in gaps_ms * (1 if len(gaps_ms) > 1 else 100):
+        pauses.note_gap_during_prefill(ENGINES, GAP_TARGET_MS, gap_ms)
+    assert least <= pauses.late_share(ENGINES, GAP_TARGET_MS, prefill_ms) <= most
 
 
 def test_late_share_does_not_fall_with_prefill_length():
     pauses = GapTable()
-    pauses.note_gap_during_prefill(ENGINES, PAUSE_MS, 390.0)
-    shares = [pauses.late_share(ENGINES, PAUSE_MS, 50.0 * step) for step in range(30)]
+    pauses.note_gap_during_prefill(ENGINES, GAP_TARGET_MS, 390.0)
+    shares = [pauses.late_share(ENGINES, GAP_TARGET_MS, 50.0 * step) for step in range(30)]
     assert shares == sorted(shares)
 
 
@@ -186,17 +186,17 @@
     pauses = GapTable()
     for prefill_ms, late in seen:
         for number in range(100):
-            pauses.note_outcome(ENGINES, PAUSE_MS, 10.0, False)
-            pauses.note_outcome(ENGINES, PAUSE_MS, prefill_ms, number < late)
-    assert least <= pauses.late_share(ENGINES, PAUSE_MS, 350.0) <= most
+            pauses.note_outcome(ENGINES, GAP_TARGET_MS, 10.0, False)
+            pauses.note_outcome(ENGINES, GAP_TARGET_MS, prefill_ms, number < late)
+    assert least <= pauses.late_share(ENGINES, GAP_TARGET_MS, 350.0) <= most
 
 
 def test_long_gaps_without_prefill_are_not_blamed_on_prefill():
     pauses = GapTable()
     for _ in range(100):
-        pauses.note_base_gap(ENGINES, PAUSE_MS, 20.0, 390.0)
-    assert pauses.late_share(ENGINES, PAUSE_MS, 0.0) == 0.0
-    assert pauses.late_share(ENGINES, PAUSE_MS, 400.0) < 0.2
+        pauses.note_base_gap(ENGINES, GAP_TARGET_MS, 20.0, 390.0)
+    assert pauses.late_share(ENGINES, GAP_TARGET_MS, 0.0) == 0.0
+    assert pauses.late_share(ENGINES, GAP_TARGET_MS, 400.0) < 0.2
 
 
 def test_usual_credit_follows_placed_requests():
@@ -230,11 +230,11 @@
     """A watched stream at n1, and the tables that it updates."""
 
     def __init__(self, thawed_at_ms=lambda: 0.0, **changes) -> None:
-        self.loads = LoadTable(NORTH, lambda _one: None, lambda _one, _load, _shown: None)
+        self.loads = LoadTable(NORTH, lambda _one: None, lambda _one, _load, _log_factor: None)
         self.pauses = GapTable()
         self.pace = PaceTable()
         reservation = self.loads.reserve(N1, 450, 400)
-        request = make_request(make_route(pause_target_ms=PAUSE_MS))
+        request = make_request(make_route(pause_target_ms=GAP_TARGET_MS))
         tables = WatchTables(self.pace, self.pauses, self.loads, thawed_at_ms)
         self.watch = StreamWatch(tables, request, make_placement(**changes), reservation)
 
@@ -251,7 +251,8 @@
 
 
 # Times of a stream's events (ms); when another prompt is sent to the engine (ms), its tokens, and
-# the tokens queued before it; the recorded calls with their gap (ms) or whether it was late. By the initial estimate 1,000 tokens take 20 ms.
+# the tokens queued before it; the recorded calls, each with a gap (ms) or whether it was late. By
+# the initial estimate 1,000 tokens take 20 ms.
 GAP_CASES = [
     ("no prefill", (100, 200, 300), None, 0, 0, []),
     ("short prefill", (100, 200, 300, 400), 150, 500, 0, [("base", 100), ("late", False)]),
@@ -288,14 +289,14 @@
     _, events, prefill_at, tokens, before, noted = row
     monkeypatch.setattr(PaceTable, "note_first_event", lambda *_: None)
     stream = WatchedStream()
-    given = False
+    sent = False
     for at in events:
-        if prefill_at is not None and not given and prefill_at < at:
+        if prefill_at is not None and not sent and prefill_at < at:
             if before:
                 stream.loads.reserve(N1, before, before)
             clock[0] = 1_000 + prefill_at
             stream.loads.reserve(N1, tokens, tokens)
-            given = True
+            sent = True
         clock[0] = 1_000 + at
         stream.watch.note_event()
     assert stream.noted == noted
@@ -318,7 +319,7 @@
 
 
 # Times of events, and when this process resumed after a suspension (ms).
-OWN_PAUSES = [
+SUSPENSIONS = [
     ("before the first event", (3_000,), 2_900),
     ("between events", (100, 3_100, 3_200), 3_000),
     ("before the end", (100, 3_200), 3_150),
@@ -326,7 +327,7 @@
 
 
 @pytest.mark.parametrize(
-    ("events", "thawed"), [row[1:] for row in OWN_PAUSES], ids=[row[0] for row in OWN_PAUSES]
+    ("events", "thawed"), [row[1:] for row in SUSPENSIONS], ids=[row[0] for row in SUSPENSIONS]
 )
 def test_suspension_of_this_process_is_not_blamed_on_engine(clock, monkeypatch, events, thawed):
     learned = []
@@ -346,7 +347,7 @@
 def test_learned_values_can_be_logged():
     pace, pauses = PaceTable(), GapTable()
     pace.note_first_event(ENGINES, N1.id, PrefillWork(0, 2_000, 0), 60.0)
-    pauses.note_gap_during_prefill(ENGINES, PAUSE_MS, 120.0)
+    pauses.note_gap_during_prefill(ENGINES, GAP_TARGET_MS, 120.0)
     logged = json.loads(json.dumps([pace.learned(), pauses.learned()]))
     assert len(logged[0][ENGINES]) == 3
     base_ms, deviation_ms, max_ms, *shares = logged[1]["engines/400"]
--- a/sparline/placement/tests/test_server_limits.py
+++ b/sparline/placement/tests/test_server_limits.py
@@ -110,7 +110,7 @@
 RATE_PER_S = 2.0
 WINDOW_MS = 4_000.0
 # Requests allowed in any window: 1.5 times the limit, and a few in flight.
-MOST_IN_WINDOW = 1.5 * RATE_PER_S * WINDOW_MS / 1000 + 5
+MAX_IN_WINDOW = 1.5 * RATE_PER_S * WINDOW_MS / 1000 + 5
 
 
 @dataclass
@@ -196,7 +196,7 @@
     server.run(fleet, seconds=4)
     change(fleet)
     server.run(fleet, seconds=8)
-    assert most_in_window(server.sent_at_ms) <= MOST_IN_WINDOW
+    assert most_in_window(server.sent_at_ms) <= MAX_IN_WINDOW
     # Guards against shares that leave most of the limit unused.
     assert len(server.sent_at_ms) >= RATE_PER_S * 4
 
--- a/sparline/placement/tests/test_shortlist.py
+++ b/sparline/placement/tests/test_shortlist.py
@@ -67,7 +67,7 @@
     some = servers(90, 1)
     candidates = shortlist()
     candidates.of(make_prompt_request("/a"), some)
-    less = some[:70]
-    assert {one.id for one in candidates.of(make_prompt_request("/a"), less)} <= {
-        one.id for one in less
+    fewer = some[:70]
+    assert {one.id for one in candidates.of(make_prompt_request("/a"), fewer)} <= {
+        one.id for one in fewer
     }
--- a/sparline/placement/tests/test_witnesses.py
+++ b/sparline/placement/tests/test_witnesses.py
@@ -31,7 +31,7 @@
     return lambda health: [health.note_failure(S1, "failed") for _ in range(times)]
 
 
-def silent_with_work(health: HealthTable) -> None:
+def silent_with_pending_request(health: HealthTable) -> None:
     health.note_sent(S1)
 
 
@@ -52,8 +52,8 @@
     ("full", lambda health: health.note_full(S1), 100, False),
     ("full, later", lambda health: health.note_full(S1), 200, True),
     ("address of another server", lambda health: health.note_misdirected(S1), 4_000, False),
-    ("silent with pending request", silent_with_work, 1_300, False),
-    ("briefly silent with pending request", silent_with_work, 1_000, True),
+    ("silent with pending request", silent_with_pending_request, 1_300, False),
+    ("briefly silent with pending request", silent_with_pending_request, 1_000, True),
     ("silent without pending request", silent_after_all_ended, 9_000, True),
 ]
 
@@ -160,7 +160,7 @@
 def test_request_counts_until_released():
     changes: list[LoadOf] = []
     loads = LoadTable(
-        RegionName("north"), lambda _one: None, lambda _one, load, _shown: changes.append(load)
+        RegionName("north"), lambda _one: None, lambda _one, load, _log_factor: changes.append(load)
     )
     server = make_server("s1")
     reservation = loads.reserve(server, 100, 40)
@@ -185,7 +185,9 @@
 )
 @pytest.mark.parametrize("region", ["north", "south"])
 def test_load_is_maximum_of_reported_and_own(reported, load, region):
-    loads = LoadTable(RegionName("north"), lambda _one: reported, lambda _one, _load, _shown: None)
+    loads = LoadTable(
+        RegionName("north"), lambda _one: reported, lambda _one, _load, _log_factor: None
+    )
     server = make_server("s1", region)
     loads.reserve(server, 100, 40)
     assert loads.of(server) == load
