--- a/sparline/decisions/__init__.py
+++ b/sparline/decisions/__init__.py
@@ -5,7 +5,11 @@
 
 from sparline.decisions._admission import AdmissionFacts, RefusalReason, refusal_reason
 from sparline.decisions._region_refusals import RegionRefusals
-from sparline.decisions._return_time import RefusalFacts, refusal_retry_after_ms, unserved_wait_ms
+from sparline.decisions._return_time import (
+    RefusalFacts,
+    refusal_retry_after_ms,
+    unserved_retry_after_ms,
+)
 
 __all__ = [
     "AdmissionFacts",
@@ -13,6 +17,6 @@
     "RegionRefusals",
     "RefusalFacts",
     "refusal_retry_after_ms",
-    "unserved_wait_ms",
+    "unserved_retry_after_ms",
     "refusal_reason",
 ]
--- a/sparline/decisions/_return_time.py
+++ b/sparline/decisions/_return_time.py
@@ -32,7 +32,7 @@
     return min(max(late_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
 
 
-def unserved_wait_ms(left_ms: float, backoff_left_ms: float | None = None) -> float:
+def unserved_retry_after_ms(left_ms: float, backoff_left_ms: float | None = None) -> float:
     """Return the Retry-After of a request that no server can run, by the time its caller has left.
 
     `backoff_left_ms` is the time until the backoff of a suitable server ends, None if none backs
--- a/sparline/decisions/tests/test_decisions.py
+++ b/sparline/decisions/tests/test_decisions.py
@@ -10,7 +10,7 @@
     RegionRefusals,
     refusal_reason,
     refusal_retry_after_ms,
-    unserved_wait_ms,
+    unserved_retry_after_ms,
 )
 from sparline.decisions._region_refusals import MAX_SHORT_TOKENS, REFUSAL_TTL_MS
 from sparline.routes import ServiceName
@@ -66,12 +66,12 @@
 
 @pytest.mark.parametrize(("left_ms", "after_ms"), [(300, 500), (3_000, 1_000), (60_000, 5_000)])
 def test_unserved_wait_is_bounded_fraction_of_time_left(left_ms, after_ms):
-    assert unserved_wait_ms(left_ms) == after_ms
+    assert unserved_retry_after_ms(left_ms) == after_ms
 
 
 @pytest.mark.parametrize(("backoff_left_ms", "after_ms"), [(20, 150), (700, 700), (30_000, 1_000)])
 def test_server_backoff_shortens_unserved_wait(backoff_left_ms, after_ms):
-    assert unserved_wait_ms(3_000, backoff_left_ms) == after_ms
+    assert unserved_retry_after_ms(3_000, backoff_left_ms) == after_ms
 
 
 REFUSED_AT_MS = 1_000.0
--- a/sparline/gateway/_service.py
+++ b/sparline/gateway/_service.py
@@ -11,7 +11,7 @@
 from sparline._clock import now_ms
 from sparline._hashing import hash64
 from sparline._ids import RequestId
-from sparline.decisions import unserved_wait_ms
+from sparline.decisions import unserved_retry_after_ms
 from sparline.fleet import FleetState, StoreCopyTable
 from sparline.forwarding import Forwarder, OwnAnswer
 from sparline.gateway._leave_plan import LeavePlan
@@ -166,7 +166,7 @@
         configuration = self._fleet.configuration
         request_id = marks.request_id
         if configuration is None:
-            wait_ms = unserved_wait_ms(marks.deadline_ms or UNNAMED_DEADLINE_MS)
+            wait_ms = unserved_retry_after_ms(marks.deadline_ms or UNNAMED_DEADLINE_MS)
             self._refuse(caller, request_id, origin, Reason.NO_CONFIGURATION, wait_ms)
             return None
         route = configuration.find(marks.host, marks.path)
@@ -184,7 +184,7 @@
             return None
         known = whose.unwrap()
         if known is not None and not _has_home(route, known.organisation):
-            wait_ms = unserved_wait_ms(marks.deadline_ms or UNNAMED_DEADLINE_MS)
+            wait_ms = unserved_retry_after_ms(marks.deadline_ms or UNNAMED_DEADLINE_MS)
             self._refuse(caller, request_id, origin, Reason.RESIDENCY, wait_ms)
             return None
         relayed = ServiceName(marks.relay_service) if origin is Origin.RELAY else None
--- a/sparline/placement/_choice.py
+++ b/sparline/placement/_choice.py
@@ -12,7 +12,7 @@
     RegionRefusals,
     refusal_reason,
     refusal_retry_after_ms,
-    unserved_wait_ms,
+    unserved_retry_after_ms,
 )
 from sparline.fleet import BackendServer
 from sparline.placement._credit import credit_of
@@ -62,7 +62,7 @@
         """
         service = self._tables.fleet.configuration.services.get(request.service)  # type: ignore[union-attr]
         if service is None:
-            return Refusal(Reason.NO_BACKEND, unserved_wait_ms(request.left_ms()), 0)
+            return Refusal(Reason.NO_BACKEND, unserved_retry_after_ms(request.left_ms()), 0)
         all_servers = self._tables.fleet.by_service.get(request.service, [])
         shortlisted = self._shortlist.of(request, all_servers)
         has_begun = has_begun or request.resume_after is not None
@@ -73,7 +73,7 @@
             # No server on the shortlist may be used: consider all of them.
             servers = self._eligible_servers(request, service, all_servers, excluded)
         if not servers:
-            wait_ms = unserved_wait_ms(
+            wait_ms = unserved_retry_after_ms(
                 request.left_ms(), self._shortest_backoff_ms(request, all_servers)
             )
             return Refusal(Reason.NO_BACKEND, wait_ms, 0)
@@ -85,7 +85,9 @@
         ]
         placements = [one for one in estimated if one is not None]
         if not placements:
-            return Refusal(Reason.NO_BACKEND, unserved_wait_ms(request.left_ms()), len(servers))
+            return Refusal(
+                Reason.NO_BACKEND, unserved_retry_after_ms(request.left_ms()), len(servers)
+            )
         best = self._best(placements, prefer_few_running)
         if has_begun:
             # A delayed continuation is worth more to the caller than a broken stream.
