--- a/sparline/_clock.py
+++ b/sparline/_clock.py
@@ -65,7 +65,7 @@
             self._thawed_at_ms = now
             self._on_pause(gap_ms)
 
-    def thawed_at_ms(self) -> float:
+    def process_resumed_at_ms(self) -> float:
         """Return when the last pause ended, 0 for none; also where nothing has ticked since."""
         if now_ms() - self._ticked_at_ms > PAUSE_LEAST_MS:
             self.tick()
--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -318,7 +318,7 @@
 
     def _note_plain_success(self, took_ms: float) -> None:
         self._tools.health.note_success(self._server_id)
-        stood_still = self._tools.watch.thawed_at_ms() > self._progress.sent_at_ms
+        stood_still = self._tools.watch.process_resumed_at_ms() > self._progress.sent_at_ms
         if self._placement.peer is not None or stood_still:
             return
         usual_ms = self._tools.pace.answer_ms(self._request.service)
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -188,7 +188,7 @@
         self._tasks: list[gevent.Greenlet] = []
 
     def _make_placement(self, region: RegionName) -> None:
-        self.health = HealthTable(self.pause_watch.thawed_at_ms)
+        self.health = HealthTable(self.pause_watch.process_resumed_at_ms)
         self.load_exchange = LoadExchange(
             self.members,
             LoadSources(
@@ -253,7 +253,9 @@
             server_limits=self.server_limits,
             note_leaving=self.fleet.note_leaving,
             pace=self.pace,
-            watch=WatchTables(self.pace, self.pauses, self.loads, self.pause_watch.thawed_at_ms),
+            watch=WatchTables(
+                self.pace, self.pauses, self.loads, self.pause_watch.process_resumed_at_ms
+            ),
             may_move=may_move,
             note_peer=self.peers.note,
             note_round_trip=self.peers.note_round_trip,
--- a/sparline/placement/_health.py
+++ b/sparline/placement/_health.py
@@ -52,12 +52,12 @@
 class HealthTable:
     """Judges the health of backend servers by the requests of this instance."""
 
-    def __init__(self, thawed_at_ms: Callable[[], float] = lambda: 0.0) -> None:
+    def __init__(self, process_resumed_at_ms: Callable[[], float] = lambda: 0.0) -> None:
         """Start without observations.
 
-        `thawed_at_ms` returns when this process last resumed after it had been suspended.
+        `process_resumed_at_ms` returns when this process last resumed after it had been suspended.
         """
-        self._thawed_at_ms = thawed_at_ms
+        self._thawed_at_ms = process_resumed_at_ms
         self._observations: dict[BackendServerId, _Observations] = {}
 
     def _of(self, server_id: BackendServerId) -> _Observations:
--- a/sparline/placement/_stream_watch.py
+++ b/sparline/placement/_stream_watch.py
@@ -21,7 +21,7 @@
     pace: PaceTable  # times of services and engines
     pauses: GapTable  # which prefills make gaps too long
     loads: LoadTable  # load of backend servers
-    thawed_at_ms: Callable[[], float] = lambda: 0.0  # when this process last resumed
+    process_resumed_at_ms: Callable[[], float] = lambda: 0.0  # when this process last resumed
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
 
     def _was_suspended_since(self, at_ms: float) -> bool:
         """Tell whether this process was suspended since then, which makes the time meaningless."""
-        return self._tables.thawed_at_ms() > at_ms
+        return self._tables.process_resumed_at_ms() > at_ms
 
     def _note_prefill_speed(self) -> float | None:
         """Learn how fast the engine prefills, unless something else delayed the request."""
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -229,13 +229,13 @@
 class WatchedStream:
     """A watched stream at n1, and the tables that it updates."""
 
-    def __init__(self, thawed_at_ms=lambda: 0.0, **changes) -> None:
+    def __init__(self, process_resumed_at_ms=lambda: 0.0, **changes) -> None:
         self.loads = LoadTable(NORTH, lambda _one: None, lambda _one, _load, _log_factor: None)
         self.pauses = GapTable()
         self.pace = PaceTable()
         reservation = self.loads.reserve(N1, 450, 400)
         request = make_request(make_route(pause_target_ms=GAP_TARGET_MS))
-        tables = WatchTables(self.pace, self.pauses, self.loads, thawed_at_ms)
+        tables = WatchTables(self.pace, self.pauses, self.loads, process_resumed_at_ms)
         self.watch = StreamWatch(tables, request, make_placement(**changes), reservation)
 
         self.noted: list[tuple[str, int]] = []
--- a/sparline/tests/test_clock.py
+++ b/sparline/tests/test_clock.py
@@ -84,7 +84,7 @@
     machine.suspended_s += suspended_ms / 1000
     machine.awake_s += (awake_ms + MOMENT_MS) / 1000
     # Whoever asks first hears of it, before the next tick.
-    assert (watch.thawed_at_ms() > 0) is noted
+    assert (watch.process_resumed_at_ms() > 0) is noted
     watch.tick()
     assert pauses == ([pytest.approx(suspended_ms + awake_ms + MOMENT_MS)] if noted else [])
 
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize("sleep_ms", SLEEPS_MS)
 def test_a_server_is_not_dark_for_what_this_process_slept_through(machine, sleep_ms):
     watch = PauseWatch()
-    health = HealthTable(watch.thawed_at_ms)
+    health = HealthTable(watch.process_resumed_at_ms)
     health.note_sent(SERVER)
     machine.awake_s += 0.5
     watch.tick()
