--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -223,9 +223,9 @@
         )
         self.port._chance = random.Random(f"gossip/{world.draw.seed}/{ip}")
         self._pace = world.table(region, Known.PACES, PaceTable)
-        pauses = world.table(region, Known.PAUSES, GapTable)
+        gaps = world.table(region, Known.PAUSES, GapTable)
         asks = 1 if Known.DEMAND in world.known else instances
-        self._watch_tables = WatchTables(self._pace, pauses, self.loads)
+        self._watch_tables = WatchTables(self._pace, gaps, self.loads)
         tables = PlacementTables(
             fleet=_fleet_state(world),
             loads=self.loads,
@@ -234,7 +234,7 @@
             limits=LimitShares(ServerLimitTable(), RateShares(ip, lambda: [ip], lambda: True)),
             cache=self._cache,
             pace=self._pace,
-            pauses=pauses,
+            gaps=gaps,
             credit=world.table(region, Known.CREDIT, CreditTable),
             demand=world.table(region, Known.DEMAND, DemandTable),
             sharing=lambda: asks,
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -208,7 +208,7 @@
             sharing=lambda: len(self.members.live(region)) + 1,
         )
         self.pace = PaceTable()
-        self.pauses = GapTable()
+        self.gaps = GapTable()
 
         def sharers() -> list[str]:
             return self.members.sharers(region)
@@ -226,7 +226,7 @@
             ),
             cache=self.cache,
             pace=self.pace,
-            pauses=self.pauses,
+            gaps=self.gaps,
             credit=CreditTable(),
             demand=DemandTable(),
             sharing=lambda: len(self.members.live(region)) + 1,
@@ -254,7 +254,7 @@
             note_leaving=self.fleet.note_leaving,
             pace=self.pace,
             watch=WatchTables(
-                self.pace, self.pauses, self.loads, self.pause_watch.process_resumed_at_ms
+                self.pace, self.gaps, self.loads, self.pause_watch.process_resumed_at_ms
             ),
             may_move=may_move,
             note_peer=self.peers.note,
@@ -394,7 +394,7 @@
             self.pause_watch.tick()
             if now_ms() - logged_at_ms >= LEARNED_MS:
                 logged_at_ms = now_ms()
-                log.bind(pace=self.pace.learned(), pauses=self.pauses.learned()).info("learned")
+                log.bind(pace=self.pace.learned(), pauses=self.gaps.learned()).info("learned")
             self.fleet.remove_lapsed(self._store_away())
             known = set(self.fleet.servers)
             self.health.forget_all_but(known)
--- a/sparline/placement/_place_judge.py
+++ b/sparline/placement/_place_judge.py
@@ -68,7 +68,7 @@
     limits: LimitShares  # request rate limits set by servers
     cache: PromptCache  # prompt prefixes cached by engines
     pace: PaceTable  # times of services and engines
-    pauses: GapTable  # which prefills make gaps too long
+    gaps: GapTable  # which prefills make gaps too long
     credit: CreditTable  # usual credit of requests
     demand: DemandTable  # recent demand of callers
     sharing: Callable[[], int]  # number of instances whose callers share this region's engines
@@ -262,7 +262,7 @@
         loss = (REPEATED_PREFILL_LOSS * work.repeated_tokens + FETCH_MB_LOSS * fetched_mb) / credit
         gap_target_ms = request.route.pause_target_ms
         if gap_target_ms:
-            late = self._tables.pauses.late_share
+            late = self._tables.gaps.late_share
             before_ms = load.unread_tokens * pace.token_ms
             after_ms = before_ms + work.effort_tokens * pace.token_ms
             after = late(request.service, gap_target_ms, after_ms)
--- a/sparline/placement/_stream_watch.py
+++ b/sparline/placement/_stream_watch.py
@@ -19,7 +19,7 @@
     """Tables that streams update, and the loads that explain their gaps."""
 
     pace: PaceTable  # times of services and engines
-    pauses: GapTable  # which prefills make gaps too long
+    gaps: GapTable  # which prefills make gaps too long
     loads: LoadTable  # load of backend servers
     process_resumed_at_ms: Callable[[], float] = lambda: 0.0  # when this process last resumed
 
@@ -108,15 +108,15 @@
         """Learn from a gap in which this instance sent a prompt, and from the next one."""
         service = self._request.service
         target_ms = self._request.route.pause_target_ms
-        pauses = self._tables.pauses
+        gaps = self._tables.gaps
         if self._gap_prefill is not None:
             if self._gap_prefill.busy_until_ms >= now_ms():
-                pauses.note_gap_during_prefill(service, target_ms, gap_ms)
+                gaps.note_gap_during_prefill(service, target_ms, gap_ms)
             is_late = max(gap_ms, self._gap_prefill.gap_ms) > target_ms
-            pauses.note_outcome(service, target_ms, self._gap_prefill.queue_ms, is_late)
+            gaps.note_outcome(service, target_ms, self._gap_prefill.queue_ms, is_late)
         self._gap_prefill = self._prefill_during(gap_ms)
         if self._gap_prefill is not None and self._gap_prefill.is_alone:
-            pauses.note_base_gap(service, target_ms, self._gap_prefill.queue_ms, gap_ms)
+            gaps.note_base_gap(service, target_ms, self._gap_prefill.queue_ms, gap_ms)
 
     def _prefill_during(self, gap_ms: float) -> _GapPrefill | None:
         """Return the prefill that this instance sent during the gap, None without one."""
--- a/sparline/placement/tests/test_choice.py
+++ b/sparline/placement/tests/test_choice.py
@@ -71,7 +71,7 @@
             limits=LimitShares(self.limits, RateShares("own", lambda: ["own"], lambda: True)),
             cache=self.cache,
             pace=PaceTable(),
-            pauses=GapTable(),
+            gaps=GapTable(),
             credit=credit,
             demand=DemandTable(),
             sharing=lambda: 1,
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -154,18 +154,18 @@
     ids=[row[0] for row in LATE_SHARES],
 )
 def test_late_share_follows_observed_gaps(name, gaps_ms, prefill_ms, least, most):
-    pauses = GapTable()
+    gaps = GapTable()
     for _ in range(100):
-        pauses.note_base_gap(ENGINES, GAP_TARGET_MS, 20.0, 50.0)
+        gaps.note_base_gap(ENGINES, GAP_TARGET_MS, 20.0, 50.0)
     for gap_ms in gaps_ms * (1 if len(gaps_ms) > 1 else 100):
-        pauses.note_gap_during_prefill(ENGINES, GAP_TARGET_MS, gap_ms)
-    assert least <= pauses.late_share(ENGINES, GAP_TARGET_MS, prefill_ms) <= most
+        gaps.note_gap_during_prefill(ENGINES, GAP_TARGET_MS, gap_ms)
+    assert least <= gaps.late_share(ENGINES, GAP_TARGET_MS, prefill_ms) <= most
 
 
 def test_late_share_does_not_fall_with_prefill_length():
-    pauses = GapTable()
-    pauses.note_gap_during_prefill(ENGINES, GAP_TARGET_MS, 390.0)
-    shares = [pauses.late_share(ENGINES, GAP_TARGET_MS, 50.0 * step) for step in range(30)]
+    gaps = GapTable()
+    gaps.note_gap_during_prefill(ENGINES, GAP_TARGET_MS, 390.0)
+    shares = [gaps.late_share(ENGINES, GAP_TARGET_MS, 50.0 * step) for step in range(30)]
     assert shares == sorted(shares)
 
 
@@ -183,20 +183,20 @@
     ("name", "seen", "least", "most"), OUTCOMES, ids=[row[0] for row in OUTCOMES]
 )
 def test_outcomes_outweigh_prediction_from_gap_lengths(name, seen, least, most):
-    pauses = GapTable()
+    gaps = GapTable()
     for prefill_ms, late in seen:
         for number in range(100):
-            pauses.note_outcome(ENGINES, GAP_TARGET_MS, 10.0, False)
-            pauses.note_outcome(ENGINES, GAP_TARGET_MS, prefill_ms, number < late)
-    assert least <= pauses.late_share(ENGINES, GAP_TARGET_MS, 350.0) <= most
+            gaps.note_outcome(ENGINES, GAP_TARGET_MS, 10.0, False)
+            gaps.note_outcome(ENGINES, GAP_TARGET_MS, prefill_ms, number < late)
+    assert least <= gaps.late_share(ENGINES, GAP_TARGET_MS, 350.0) <= most
 
 
 def test_long_gaps_without_prefill_are_not_blamed_on_prefill():
-    pauses = GapTable()
+    gaps = GapTable()
     for _ in range(100):
-        pauses.note_base_gap(ENGINES, GAP_TARGET_MS, 20.0, 390.0)
-    assert pauses.late_share(ENGINES, GAP_TARGET_MS, 0.0) == 0.0
-    assert pauses.late_share(ENGINES, GAP_TARGET_MS, 400.0) < 0.2
+        gaps.note_base_gap(ENGINES, GAP_TARGET_MS, 20.0, 390.0)
+    assert gaps.late_share(ENGINES, GAP_TARGET_MS, 0.0) == 0.0
+    assert gaps.late_share(ENGINES, GAP_TARGET_MS, 400.0) < 0.2
 
 
 def test_usual_credit_follows_placed_requests():
@@ -231,21 +231,21 @@
 
     def __init__(self, process_resumed_at_ms=lambda: 0.0, **changes) -> None:
         self.loads = LoadTable(NORTH, lambda _one: None, lambda _one, _load, _log_factor: None)
-        self.pauses = GapTable()
+        self.gaps = GapTable()
         self.pace = PaceTable()
         reservation = self.loads.reserve(N1, 450, 400)
         request = make_request(make_route(pause_target_ms=GAP_TARGET_MS))
-        tables = WatchTables(self.pace, self.pauses, self.loads, process_resumed_at_ms)
+        tables = WatchTables(self.pace, self.gaps, self.loads, process_resumed_at_ms)
         self.watch = StreamWatch(tables, request, make_placement(**changes), reservation)
 
         self.noted: list[tuple[str, int]] = []
-        self.pauses.note_base_gap = lambda _service, _target, _prefill, gap: self.noted.append(
+        self.gaps.note_base_gap = lambda _service, _target, _prefill, gap: self.noted.append(
             ("base", gap)
         )
-        self.pauses.note_gap_during_prefill = lambda _service, _target, gap: self.noted.append(
+        self.gaps.note_gap_during_prefill = lambda _service, _target, gap: self.noted.append(
             ("during prefill", gap)
         )
-        self.pauses.note_outcome = lambda _service, _target, _prefill, late: self.noted.append(
+        self.gaps.note_outcome = lambda _service, _target, _prefill, late: self.noted.append(
             ("late", late)
         )
 
@@ -345,10 +345,10 @@
 
 
 def test_learned_values_can_be_logged():
-    pace, pauses = PaceTable(), GapTable()
+    pace, gaps = PaceTable(), GapTable()
     pace.note_first_event(ENGINES, N1.id, PrefillWork(0, 2_000, 0), 60.0)
-    pauses.note_gap_during_prefill(ENGINES, GAP_TARGET_MS, 120.0)
-    logged = json.loads(json.dumps([pace.learned(), pauses.learned()]))
+    gaps.note_gap_during_prefill(ENGINES, GAP_TARGET_MS, 120.0)
+    logged = json.loads(json.dumps([pace.learned(), gaps.learned()]))
     assert len(logged[0][ENGINES]) == 3
     base_ms, deviation_ms, max_ms, *shares = logged[1]["engines/400"]
     assert (base_ms, deviation_ms, max_ms) == (60, 60, 116)
