--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -322,7 +322,7 @@
         if self._placement.peer is not None or stood_still:
             return
         usual_ms = self._tools.pace.answer_ms(self._request.service)
-        self._tools.health.note_pace(self._server_id, took_ms, usual_ms)
+        self._tools.health.note_time(self._server_id, took_ms, usual_ms)
         self._tools.pace.note_answer(self._request.service, took_ms)
 
     def _begin(self, answer: HttpAnswer) -> None:
--- a/sparline/placement/_health.py
+++ b/sparline/placement/_health.py
@@ -159,7 +159,7 @@
             for_ms=observed.skip_ms,
         ).info("server_passed_over")
 
-    def note_pace(self, server_id: BackendServerId, took_ms: float, expected_ms: float) -> None:
+    def note_time(self, server_id: BackendServerId, took_ms: float, expected_ms: float) -> None:
         """Record a measured time and the expected one."""
         observed = self._of(server_id)
         factor = min(max(took_ms / max(expected_ms, 1.0), MIN_PACE), MAX_PACE)
--- a/sparline/placement/tests/test_witnesses.py
+++ b/sparline/placement/tests/test_witnesses.py
@@ -124,7 +124,7 @@
 def test_pace_decays(clock):
     health = HealthTable()
     for _ in range(30):
-        health.note_pace(S1, 500.0, 100.0)
+        health.note_time(S1, 500.0, 100.0)
     assert health.pace(S1) > 4
     clock.now += 3 * _health.PACE_HALF_LIFE_MS
     assert health.pace(S1) < 1.7
