--- a/sparline/placement/_health.py
+++ b/sparline/placement/_health.py
@@ -42,7 +42,7 @@
     backoff_until_ms: float = 0.0  # end of the wait requested through Retry-After
     misdirected_until_ms: float = 0.0  # until when its address counts as another server's
     skip_ms: float = 0.0  # how long it was skipped the last time
-    pace: float = 1.0  # measured time relative to the expected one
+    time_factor: float = 1.0  # measured time relative to the expected one
     pace_at_ms: float = 0.0  # when the pace was last measured
     heard_at_ms: float = 0.0  # when it last sent anything
     waiting: int = 0  # requests that wait for a byte
@@ -163,16 +163,18 @@
         """Record a measured time and the expected one."""
         observed = self._of(server_id)
         factor = min(max(took_ms / max(expected_ms, 1.0), MIN_PACE), MAX_PACE)
-        observed.pace = self.pace(server_id) * (1 - PACE_WEIGHT) + factor * PACE_WEIGHT
+        observed.time_factor = (
+            self.time_factor(server_id) * (1 - PACE_WEIGHT) + factor * PACE_WEIGHT
+        )
         observed.pace_at_ms = now_ms()
 
-    def pace(self, server_id: BackendServerId) -> float:
+    def time_factor(self, server_id: BackendServerId) -> float:
         """Return the time that a server takes relative to the expected one."""
         observed = self._observations.get(server_id)
         if observed is None:
             return 1.0
         age = (now_ms() - observed.pace_at_ms) / PACE_HALF_LIFE_MS
-        return 1.0 + (observed.pace - 1.0) * 0.5**age
+        return 1.0 + (observed.time_factor - 1.0) * 0.5**age
 
     def failing(self, server_id: BackendServerId) -> float:
         """Return the share of failures."""
--- a/sparline/placement/_place_judge.py
+++ b/sparline/placement/_place_judge.py
@@ -236,7 +236,7 @@
         """Return the time to the answer or the first event, without the network round trip."""
         usual_ms = self._tables.pace.answer_ms(service.name)
         if request.prompt is None or service.engine is None:
-            work_ms = usual_ms * self._tables.health.pace(server.id)
+            work_ms = usual_ms * self._tables.health.time_factor(server.id)
             queued = max(load.running + 1 - server.slots, 0)
             return EXCHANGE_MS + work_ms * (1 + queued / max(server.slots, 1))
         queued = max(load.running + 1 - service.engine.slots, 0)
--- a/sparline/placement/tests/test_witnesses.py
+++ b/sparline/placement/tests/test_witnesses.py
@@ -125,9 +125,9 @@
     health = HealthTable()
     for _ in range(30):
         health.note_time(S1, 500.0, 100.0)
-    assert health.pace(S1) > 4
+    assert health.time_factor(S1) > 4
     clock.now += 3 * _health.PACE_HALF_LIFE_MS
-    assert health.pace(S1) < 1.7
+    assert health.time_factor(S1) < 1.7
 
 
 SHARES = [(1, 1), (4, 4), (9, 4), (30, 4)]
