--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -174,7 +174,7 @@
                 self.cache.recent_prefix_uses,
                 self.cache.merge_prefix_uses,
                 self.server_limits.notes,
-                self.server_limits.take,
+                self.server_limits.merge_limits,
                 lambda: self.copy.revision,
                 self.reader.reached,
             ),
--- a/sparline/placement/_server_limits.py
+++ b/sparline/placement/_server_limits.py
@@ -44,7 +44,7 @@
             return
         self._update(ServerLimit(server_id, per_s, now_ms()))
 
-    def take(self, notes: Iterable[ServerLimitNote]) -> None:
+    def merge_limits(self, notes: Iterable[ServerLimitNote]) -> None:
         """Merge limits from a peer; the newest answer of each server counts."""
         for note in notes:
             server_id = BackendServerId(note.backend_server)
--- a/sparline/placement/tests/test_server_limits.py
+++ b/sparline/placement/tests/test_server_limits.py
@@ -67,7 +67,7 @@
     limits.note_answer(S1, 9.9)
     limits.note_answer(S1, answered)
     clock[0] += 1_000
-    limits.take([peer_note])
+    limits.merge_limits([peer_note])
     assert limits.limit_per_s(S1) == expected
 
 
@@ -92,7 +92,7 @@
         for sender, receiver in ((first, second), (second, first)):
             notes = sender.notes()
             clock[0] += delay_ms
-            receiver.take(notes)
+            receiver.merge_limits(notes)
         clock[0] += 250
         first.forget_old()
         second.forget_old()
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -185,7 +185,7 @@
             recent_prefix_uses=list,
             merge_prefix_uses=lambda _reads: None,
             server_limits=server_limits.notes,
-            take_server_limits=server_limits.take,
+            take_server_limits=server_limits.merge_limits,
             store_revision=lambda: 1,
             store_reached=lambda: True,
         )
