--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -173,7 +173,7 @@
             GossipSources(
                 self.cache.recent_prefix_uses,
                 self.cache.merge_prefix_uses,
-                self.server_limits.notes,
+                self.server_limits.limits_to_send,
                 self.server_limits.merge_limits,
                 lambda: self.copy.revision,
                 self.reader.reached,
--- a/sparline/placement/_server_limits.py
+++ b/sparline/placement/_server_limits.py
@@ -53,7 +53,7 @@
             if known is None or known.at_ms + AGE_TOLERANCE_MS < at_ms:
                 self._update(ServerLimit(server_id, note.per_s, at_ms, from_peer=True))
 
-    def notes(self) -> list[ServerLimitNote]:
+    def limits_to_send(self) -> list[ServerLimitNote]:
         """Return the limits to send to a peer, a random sample where there are many.
 
         Limits from peers are left out, because forwarding them would make an answer appear newer by
--- a/sparline/placement/tests/test_server_limits.py
+++ b/sparline/placement/tests/test_server_limits.py
@@ -76,10 +76,10 @@
     limits.note_answer(S1, 1.8)
     clock[0] += _server_limits.LIMIT_TTL_MS - 1
     limits.forget_old()
-    assert limits.notes() == [note(1.8, round(_server_limits.LIMIT_TTL_MS) - 1)]
+    assert limits.limits_to_send() == [note(1.8, round(_server_limits.LIMIT_TTL_MS) - 1)]
     clock[0] += 2
     limits.forget_old()
-    assert limits.notes() == []
+    assert limits.limits_to_send() == []
 
 
 @pytest.mark.parametrize("delay_ms", [1, 50, 400])
@@ -90,7 +90,7 @@
     start_ms = clock[0]
     while clock[0] - start_ms <= _server_limits.LIMIT_TTL_MS + 1_000:
         for sender, receiver in ((first, second), (second, first)):
-            notes = sender.notes()
+            notes = sender.limits_to_send()
             clock[0] += delay_ms
             receiver.merge_limits(notes)
         clock[0] += 250
@@ -104,7 +104,7 @@
     limits = ServerLimitTable()
     for number in range(100):
         limits.note_answer(make_server(f"s{number}").id, 1.8)
-    assert len(limits.notes()) == _server_limits.MAX_LIMITS_PER_DATAGRAM
+    assert len(limits.limits_to_send()) == _server_limits.MAX_LIMITS_PER_DATAGRAM
 
 
 RATE_PER_S = 2.0
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -184,7 +184,7 @@
         sources = GossipSources(
             recent_prefix_uses=list,
             merge_prefix_uses=lambda _reads: None,
-            server_limits=server_limits.notes,
+            server_limits=server_limits.limits_to_send,
             take_server_limits=server_limits.merge_limits,
             store_revision=lambda: 1,
             store_reached=lambda: True,
