--- a/sparline/placement/_health.py
+++ b/sparline/placement/_health.py
@@ -22,13 +22,13 @@
 # A server that sends no byte for this long while requests wait is unresponsive (ms): three gaps
 # between events are allowed.
 UNRESPONSIVE_MS = 1_200.0
-# Weight of one more measured time in the pace.
-PACE_WEIGHT = 0.2
+# Weight of one more measured time in the time factor.
+TIME_FACTOR_WEIGHT = 0.2
 # Bounds of one measured time, relative to the expected one.
-MIN_PACE = 0.5
-MAX_PACE = 10.0
-# Without new measurements the pace decays to 1 with this half-life (ms).
-PACE_HALF_LIFE_MS = 4_000.0
+MIN_TIME_FACTOR = 0.5
+MAX_TIME_FACTOR = 10.0
+# Without new measurements the time factor decays to 1 with this half-life (ms).
+TIME_FACTOR_HALF_LIFE_MS = 4_000.0
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
     misdirected_until_ms: float = 0.0  # until when its address counts as another server's
     skip_ms: float = 0.0  # how long it was skipped the last time
     time_factor: float = 1.0  # measured time relative to the expected one
-    pace_at_ms: float = 0.0  # when the pace was last measured
+    time_factor_at_ms: float = 0.0  # when that was last measured
     heard_at_ms: float = 0.0  # when it last sent anything
     waiting: int = 0  # requests that wait for a byte
     waiting_since_ms: float = 0.0  # since when at least one waits
@@ -57,7 +57,7 @@
 
         `process_resumed_at_ms` returns when this process last resumed after it had been suspended.
         """
-        self._thawed_at_ms = process_resumed_at_ms
+        self._process_resumed_at_ms = process_resumed_at_ms
         self._observations: dict[BackendServerId, _Observations] = {}
 
     def _of(self, server_id: BackendServerId) -> _Observations:
@@ -162,18 +162,18 @@
     def note_time(self, server_id: BackendServerId, took_ms: float, expected_ms: float) -> None:
         """Record a measured time and the expected one."""
         observed = self._of(server_id)
-        factor = min(max(took_ms / max(expected_ms, 1.0), MIN_PACE), MAX_PACE)
+        factor = min(max(took_ms / max(expected_ms, 1.0), MIN_TIME_FACTOR), MAX_TIME_FACTOR)
         observed.time_factor = (
-            self.time_factor(server_id) * (1 - PACE_WEIGHT) + factor * PACE_WEIGHT
+            self.time_factor(server_id) * (1 - TIME_FACTOR_WEIGHT) + factor * TIME_FACTOR_WEIGHT
         )
-        observed.pace_at_ms = now_ms()
+        observed.time_factor_at_ms = now_ms()
 
     def time_factor(self, server_id: BackendServerId) -> float:
         """Return the time that a server takes relative to the expected one."""
         observed = self._observations.get(server_id)
         if observed is None:
             return 1.0
-        age = (now_ms() - observed.pace_at_ms) / PACE_HALF_LIFE_MS
+        age = (now_ms() - observed.time_factor_at_ms) / TIME_FACTOR_HALF_LIFE_MS
         return 1.0 + (observed.time_factor - 1.0) * 0.5**age
 
     def failing(self, server_id: BackendServerId) -> float:
@@ -226,4 +226,4 @@
         if now - since_ms <= UNRESPONSIVE_MS:
             return False
         # While this process was suspended it received nothing, which does not count as silence.
-        return now - self._thawed_at_ms() > UNRESPONSIVE_MS
+        return now - self._process_resumed_at_ms() > UNRESPONSIVE_MS
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -327,20 +327,20 @@
 
 
 @pytest.mark.parametrize(
-    ("events", "thawed"), [row[1:] for row in SUSPENSIONS], ids=[row[0] for row in SUSPENSIONS]
+    ("events", "resumed_ms"), [row[1:] for row in SUSPENSIONS], ids=[row[0] for row in SUSPENSIONS]
 )
-def test_suspension_of_this_process_is_not_blamed_on_engine(clock, monkeypatch, events, thawed):
+def test_suspension_of_this_process_is_not_blamed_on_engine(clock, monkeypatch, events, resumed_ms):
     learned = []
     for name in ("note_first_event", "note_answer", "note_output"):
         monkeypatch.setattr(PaceTable, name, lambda *_, name=name: learned.append((clock[0], name)))
-    stream = WatchedStream(lambda: 1_000 + thawed if clock[0] >= 1_000 + thawed else 0.0)
+    stream = WatchedStream(lambda: 1_000 + resumed_ms if clock[0] >= 1_000 + resumed_ms else 0.0)
     for at in events:
         if at > 100:
             stream.loads.reserve(N1, 500, 500)
         clock[0] = 1_000 + at
         stream.watch.note_event()
     stream.watch.note_end()
-    assert [one for one in learned if one[0] >= 1_000 + thawed] == []
+    assert [one for one in learned if one[0] >= 1_000 + resumed_ms] == []
     assert [one for one in stream.noted if one[1] not in (100, False)] == []
 
 
--- a/sparline/placement/tests/test_witnesses.py
+++ b/sparline/placement/tests/test_witnesses.py
@@ -121,12 +121,12 @@
     assert health.is_doubted(S1)
 
 
-def test_pace_decays(clock):
+def test_time_factor_decays(clock):
     health = HealthTable()
     for _ in range(30):
         health.note_time(S1, 500.0, 100.0)
     assert health.time_factor(S1) > 4
-    clock.now += 3 * _health.PACE_HALF_LIFE_MS
+    clock.now += 3 * _health.TIME_FACTOR_HALF_LIFE_MS
     assert health.time_factor(S1) < 1.7
 
 
