--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -41,12 +41,12 @@
     ColdShares,
     CreditTable,
     DemandTable,
+    GapTable,
     HealthTable,
+    InstanceLocation,
     LimitShares,
     LoadTable,
-    OwnPlace,
     PaceTable,
-    PauseTable,
     Placement,
     PlacementTables,
     PromptCache,
@@ -89,7 +89,7 @@
 Table = TypeVar("Table")
 
 
-MakeChooser = Callable[[OwnPlace, PlacementTables, random.Random], Chooser]
+MakeChooser = Callable[[InstanceLocation, PlacementTables, random.Random], Chooser]
 
 
 @dataclass(slots=True)
@@ -187,7 +187,7 @@
         self.exchange = LoadExchange(
             self.members,
             LoadSources(
-                lambda: self.loads.own_here(),
+                lambda: self.loads.own_in_region(),
                 lambda server_id: self.loads.own(server_id),
                 list,
                 lambda _server_id: False,
@@ -202,9 +202,9 @@
         self._cache = world.table(
             region,
             Known.STARTS,
-            lambda: PromptCache(owners_have_read=False, sharing=lambda: sends),
+            lambda: PromptCache(owners_have_cached=False, sharing=lambda: sends),
         )
-        self._cache._chance = random.Random(f"cache/{world.draw.seed}/{ip}")
+        self._cache._rng = random.Random(f"cache/{world.draw.seed}/{ip}")
         self.port = GossipPort(
             GOSSIP_PORT,
             world.seeds(),
@@ -213,8 +213,8 @@
             CrashExchange(CrashTable()),
             QuotaExchange(self.members, Allowance(NO_ROOM, random.Random(ip)), lambda _key: None),
             GossipSources(
-                recent_reads=self._cache.recent_reads,
-                take_reads=self._cache.take_reads,
+                recent_prefix_uses=self._cache.recent_prefix_uses,
+                merge_prefix_uses=self._cache.merge_prefix_uses,
                 server_limits=list,
                 take_server_limits=lambda _notes: None,
                 store_revision=lambda: 1,
@@ -223,9 +223,9 @@
         )
         self.port._chance = random.Random(f"gossip/{world.draw.seed}/{ip}")
         self._pace = world.table(region, Known.PACES, PaceTable)
-        pauses = world.table(region, Known.PAUSES, PauseTable)
+        gaps = world.table(region, Known.PAUSES, GapTable)
         asks = 1 if Known.DEMAND in world.known else instances
-        self._watch_tables = WatchTables(self._pace, pauses, self.loads)
+        self._watch_tables = WatchTables(self._pace, gaps, self.loads)
         tables = PlacementTables(
             fleet=_fleet_state(world),
             loads=self.loads,
@@ -234,22 +234,22 @@
             limits=LimitShares(ServerLimitTable(), RateShares(ip, lambda: [ip], lambda: True)),
             cache=self._cache,
             pace=self._pace,
-            pauses=pauses,
+            gaps=gaps,
             credit=world.table(region, Known.CREDIT, CreditTable),
             demand=world.table(region, Known.DEMAND, DemandTable),
             sharing=lambda: asks,
             peers=self._peers,
             round_trip_ms=lambda other: 2 * world.way_ms(region, other),
             load_age_ms=self.exchange.board.age_ms,
-            is_doubted_there=self.exchange.board.is_doubted,
+            is_doubted_by_region=self.exchange.board.is_doubted,
         )
         chance = random.Random(f"{world.draw.seed}/{ip}")
-        self._chooser = make(OwnPlace(RegionName(region), ZoneName(zone)), tables, chance)
+        self._chooser = make(InstanceLocation(RegionName(region), ZoneName(zone)), tables, chance)
 
-    def _note_shown(self, server_id: BackendServerId, shown_log: float) -> None:
+    def _note_shown(self, server_id: BackendServerId, log_factor: float) -> None:
         # A table that all share has learned of it already.
         if Known.PACES not in self._world.known:
-            self._pace.note_shown(server_id, shown_log)
+            self._pace.note_log_factor(server_id, log_factor)
 
     def _set_phase(self) -> None:
         self.members.own = msgspec.structs.replace(self.members.own, phase=MemberPhase.live)
@@ -257,9 +257,9 @@
     def _peers(self, region: RegionName) -> list[Member]:
         return self.members.live(region)
 
-    def _note_load(self, server: BackendServer, change: LoadOf, shown_log: float | None) -> None:
+    def _note_load(self, server: BackendServer, change: LoadOf, log_factor: float | None) -> None:
         is_near = server.region == self.region
-        self.port.tell(self.exchange.note_change(server.id, change, shown_log, is_near))
+        self.port.tell(self.exchange.note_change(server.id, change, log_factor, is_near))
 
     def gossip(self) -> None:
         """Tell some instances, then again after a while."""
--- a/sparline/decisions/__init__.py
+++ b/sparline/decisions/__init__.py
@@ -1,18 +1,22 @@
-"""Decisions at the worst load, apart from input and output: typed facts in, typed decisions out.
+"""Overload decisions as pure functions and state machines, separate from input and output.
 
-Nothing here reads a clock, a socket or a table; whoever calls gathers the facts and tells the time.
+Nothing here reads a clock, a socket or a table; the caller passes the facts and the time in.
 """
 
-from sparline.decisions._admission import AdmissionFacts, RefusedFor, why_refused
+from sparline.decisions._admission import AdmissionFacts, RefusalReason, refusal_reason
 from sparline.decisions._region_refusals import RegionRefusals
-from sparline.decisions._return_time import ReturnFacts, return_after_ms, unserved_wait_ms
+from sparline.decisions._return_time import (
+    RefusalFacts,
+    refusal_retry_after_ms,
+    unserved_retry_after_ms,
+)
 
 __all__ = [
     "AdmissionFacts",
-    "RefusedFor",
+    "RefusalReason",
     "RegionRefusals",
-    "ReturnFacts",
-    "return_after_ms",
-    "unserved_wait_ms",
-    "why_refused",
+    "RefusalFacts",
+    "refusal_retry_after_ms",
+    "unserved_retry_after_ms",
+    "refusal_reason",
 ]
--- a/sparline/fleet/tests/test_gossip.py
+++ b/sparline/fleet/tests/test_gossip.py
@@ -20,8 +20,8 @@
 from sparline.tests.fake_fleet import FakeFleet
 
 SOURCES = GossipSources(
-    recent_reads=list,
-    take_reads=lambda _reads: None,
+    recent_prefix_uses=list,
+    merge_prefix_uses=lambda _reads: None,
     server_limits=list,
     take_server_limits=lambda _notes: None,
     store_revision=lambda: 1,
@@ -33,7 +33,7 @@
     doubted=list,
     is_doubted=lambda _server: False,
     region_servers=list,
-    note_shown=lambda _server, _shown_log: None,
+    note_log_factor=lambda _server, _shown_log: None,
 )
 CRASHES = CrashExchange(CrashTable())
 SEEDS = ["127.0.3.1", "127.0.3.2", "127.0.3.3"]
--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -203,7 +203,7 @@
 
     def _meaning(self, answer: HttpAnswer) -> AnswerMeaning:
         self._answer_began = True
-        self._tools.health.note_heard(self._server_id)
+        self._tools.health.note_received(self._server_id)
         meaning = self._wire().meaning(answer)
         if self._placement.peer is not None:
             self._tools.note_peer(self._placement.peer.note.ip, True)
@@ -242,7 +242,7 @@
         if not self._tools.may_move(self._request, self._progress):
             return
         if self._request.route.kind is RequestKind.STREAM:
-            silent = self._tools.health.is_dark(self._server_id)
+            silent = self._tools.health.is_unresponsive(self._server_id)
         else:
             usual_ms = self._tools.pace.answer_ms(self._request.service)
             silent = waited_ms > PLAIN_PATIENCE * usual_ms
@@ -318,11 +318,11 @@
 
     def _note_plain_success(self, took_ms: float) -> None:
         self._tools.health.note_success(self._server_id)
-        stood_still = self._tools.watch.thawed_at_ms() > self._progress.sent_at_ms
+        stood_still = self._tools.watch.process_resumed_at_ms() > self._progress.sent_at_ms
         if self._placement.peer is not None or stood_still:
             return
         usual_ms = self._tools.pace.answer_ms(self._request.service)
-        self._tools.health.note_pace(self._server_id, took_ms, usual_ms)
+        self._tools.health.note_time(self._server_id, took_ms, usual_ms)
         self._tools.pace.note_answer(self._request.service, took_ms)
 
     def _begin(self, answer: HttpAnswer) -> None:
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -55,12 +55,12 @@
     ColdShares,
     CreditTable,
     DemandTable,
+    GapTable,
     HealthTable,
+    InstanceLocation,
     LimitShares,
     LoadTable,
-    OwnPlace,
     PaceTable,
-    PauseTable,
     PlacementTables,
     PromptCache,
     RateShares,
@@ -171,10 +171,10 @@
             CrashExchange(self.crashes),
             self.quota_exchange,
             GossipSources(
-                self.cache.recent_reads,
-                self.cache.take_reads,
-                self.server_limits.notes,
-                self.server_limits.take,
+                self.cache.recent_prefix_uses,
+                self.cache.merge_prefix_uses,
+                self.server_limits.limits_to_send,
+                self.server_limits.merge_limits,
                 lambda: self.copy.revision,
                 self.reader.reached,
             ),
@@ -188,27 +188,27 @@
         self._tasks: list[gevent.Greenlet] = []
 
     def _make_placement(self, region: RegionName) -> None:
-        self.health = HealthTable(self.pause_watch.thawed_at_ms)
+        self.health = HealthTable(self.pause_watch.process_resumed_at_ms)
         self.load_exchange = LoadExchange(
             self.members,
             LoadSources(
-                lambda: self.loads.own_here(),
+                lambda: self.loads.own_in_region(),
                 lambda server_id: self.loads.own(server_id),
                 self._doubted_here,
                 self.health.is_doubted,
                 lambda: self.fleet.ids_in(region),
-                lambda server_id, shown_log: self.pace.note_shown(server_id, shown_log),
+                lambda server_id, log_factor: self.pace.note_log_factor(server_id, log_factor),
             ),
         )
         board = self.load_exchange.board
         self.loads = LoadTable(region, board.load, self._note_load)
         self.server_limits = ServerLimitTable(self.request_log.note_server_limit)
         self.cache = PromptCache(
-            owners_have_read=not self.settings.first_start,
+            owners_have_cached=not self.settings.first_start,
             sharing=lambda: len(self.members.live(region)) + 1,
         )
         self.pace = PaceTable()
-        self.pauses = PauseTable()
+        self.gaps = GapTable()
 
         def sharers() -> list[str]:
             return self.members.sharers(region)
@@ -226,16 +226,16 @@
             ),
             cache=self.cache,
             pace=self.pace,
-            pauses=self.pauses,
+            gaps=self.gaps,
             credit=CreditTable(),
             demand=DemandTable(),
             sharing=lambda: len(self.members.live(region)) + 1,
             peers=self.peers.usable,
             round_trip_ms=self.peers.round_trip_ms,
             load_age_ms=board.age_ms,
-            is_doubted_there=board.is_doubted,
+            is_doubted_by_region=board.is_doubted,
         )
-        place = OwnPlace(region, ZoneName(self.settings.availability_zone))
+        place = InstanceLocation(region, ZoneName(self.settings.availability_zone))
         self.chooser = Chooser(place, tables, random.Random())
         retries = self.settings.retries
         rule = RetryRule(retries.ratio, retries.slack, retries.window_s * 1000)
@@ -253,7 +253,9 @@
             server_limits=self.server_limits,
             note_leaving=self.fleet.note_leaving,
             pace=self.pace,
-            watch=WatchTables(self.pace, self.pauses, self.loads, self.pause_watch.thawed_at_ms),
+            watch=WatchTables(
+                self.pace, self.gaps, self.loads, self.pause_watch.process_resumed_at_ms
+            ),
             may_move=may_move,
             note_peer=self.peers.note,
             note_round_trip=self.peers.note_round_trip,
@@ -275,9 +277,9 @@
             )
         )
 
-    def _note_load(self, server: BackendServer, change: LoadOf, shown_log: float | None) -> None:
+    def _note_load(self, server: BackendServer, change: LoadOf, log_factor: float | None) -> None:
         is_near = server.region == self.members.own.region
-        self.gossip.tell(self.load_exchange.note_change(server.id, change, shown_log, is_near))
+        self.gossip.tell(self.load_exchange.note_change(server.id, change, log_factor, is_near))
 
     def _doubted_here(self) -> list[str]:
         region = self.members.own.region
@@ -392,7 +394,7 @@
             self.pause_watch.tick()
             if now_ms() - logged_at_ms >= LEARNED_MS:
                 logged_at_ms = now_ms()
-                log.bind(pace=self.pace.learned(), pauses=self.pauses.learned()).info("learned")
+                log.bind(pace=self.pace.learned(), pauses=self.gaps.learned()).info("learned")
             self.fleet.remove_lapsed(self._store_away())
             known = set(self.fleet.servers)
             self.health.forget_all_but(known)
--- a/sparline/placement/__init__.py
+++ b/sparline/placement/__init__.py
@@ -1,17 +1,17 @@
-"""Placement: loads, health, caches and the choice of a backend server."""
+"""Placement of requests: server load, health, prompt caches and the choice of a backend server."""
 
 from sparline.placement._choice import Chooser
-from sparline.placement._cold_shares import ColdShares, ColdUse
+from sparline.placement._cold_shares import ColdRequest, ColdShares
 from sparline.placement._credit import CreditTable
 from sparline.placement._demand import DemandTable
 from sparline.placement._health import HealthTable
 from sparline.placement._limit_shares import LimitShares
 from sparline.placement._loads import LoadTable, Reservation
 from sparline.placement._pace import PaceTable
-from sparline.placement._pauses import PauseTable
-from sparline.placement._place_judge import OwnPlace, PlacementTables
+from sparline.placement._pauses import GapTable
+from sparline.placement._place_judge import InstanceLocation, PlacementTables
 from sparline.placement._placement import Doubt, Placement, Refusal
-from sparline.placement._prompt_cache import PromptCache, owner_of
+from sparline.placement._prompt_cache import PromptCache, prefix_owner
 from sparline.placement._rate_shares import RateShares
 from sparline.placement._server_limits import ServerLimit, ServerLimitTable
 from sparline.placement._stream_watch import StreamWatch, WatchTables
@@ -19,7 +19,7 @@
 __all__ = [
     "Chooser",
     "ColdShares",
-    "ColdUse",
+    "ColdRequest",
     "CreditTable",
     "DemandTable",
     "Doubt",
@@ -27,8 +27,8 @@
     "LimitShares",
     "LoadTable",
     "PaceTable",
-    "OwnPlace",
-    "PauseTable",
+    "InstanceLocation",
+    "GapTable",
     "Placement",
     "PlacementTables",
     "PromptCache",
@@ -39,5 +39,5 @@
     "ServerLimitTable",
     "StreamWatch",
     "WatchTables",
-    "owner_of",
+    "prefix_owner",
 ]
--- a/sparline/placement/_fit.py
+++ b/sparline/placement/_fit.py
@@ -1,47 +1,47 @@
-"""A least-squares fit that starts from a guess and forgets old measurements."""
+"""Least-squares regression with a prior and exponential forgetting."""
 
 from collections.abc import Sequence
 
 
 class Fit:
-    """Learn the weights whose sum over the features of a measurement explains it."""
+    """Learns the weights of a linear model from measurements."""
 
-    def __init__(self, guess: Sequence[float], trust: Sequence[float], keep: float) -> None:
-        """Start from a guess.
+    def __init__(self, prior: Sequence[float], confidence: Sequence[float], decay: float) -> None:
+        """Start from the prior weights `prior`.
 
-        `trust` says how firmly each weight of the guess holds, in sums of squared features;
-        `keep` is the part of an older measurement that counts after each new one.
+        `confidence` is the trust in each of them, as a sum of squared features; `decay` is the
+        factor by which the weight of older measurements shrinks with each new one.
         """
-        size = len(guess)
-        self.weights = tuple(guess)  # learned so far, in the order of the features
-        self._guess = tuple(guess)
-        self._trust = tuple(trust)
-        self._keep = keep
+        size = len(prior)
+        self.weights = tuple(prior)  # current estimate, in the order of the features
+        self._prior = tuple(prior)
+        self._confidence = tuple(confidence)
+        self._decay = decay
         self._squares = [[0.0] * size for _ in range(size)]
         self._products = [0.0] * size
 
     def note(self, features: Sequence[float], measured: float) -> None:
-        """Learn from one measurement."""
+        """Update the weights with one measurement."""
         for row, one in zip(self._squares, features, strict=True):
             for column, other in enumerate(features):
-                row[column] = row[column] * self._keep + one * other
+                row[column] = row[column] * self._decay + one * other
         for index, one in enumerate(features):
-            self._products[index] = self._products[index] * self._keep + one * measured
-        self.weights = self._solved()
+            self._products[index] = self._products[index] * self._decay + one * measured
+        self.weights = self._solve()
 
-    def _solved(self) -> tuple[float, ...]:
-        """Solve the normal equations; the guess keeps them from being singular."""
+    def _solve(self) -> tuple[float, ...]:
+        """Solve the normal equations; the prior keeps them from being singular."""
         rows = [
-            [*row, product + self._trust[index] * self._guess[index]]
+            [*row, product + self._confidence[index] * self._prior[index]]
             for index, (row, product) in enumerate(zip(self._squares, self._products, strict=True))
         ]
         for index, row in enumerate(rows):
-            row[index] += self._trust[index]
+            row[index] += self._confidence[index]
         return _eliminate(rows)
 
 
 def _eliminate(rows: list[list[float]]) -> tuple[float, ...]:
-    """Return the solution of a positive definite system, its right side in the last column."""
+    """Return the solution of a positive definite system with its right-hand side as last column."""
     size = len(rows)
     for pivot in range(size):
         scale = rows[pivot][pivot]
@@ -50,6 +50,7 @@
             factor = rows[other][pivot]
             if other != pivot and factor:
                 rows[other] = [
-                    one - factor * by for one, by in zip(rows[other], rows[pivot], strict=True)
+                    one - factor * pivot_one
+                    for one, pivot_one in zip(rows[other], rows[pivot], strict=True)
                 ]
     return tuple(row[-1] for row in rows)
--- a/sparline/placement/_loads.py
+++ b/sparline/placement/_loads.py
@@ -1,4 +1,4 @@
-"""Load of backend servers: own requests first-hand, all others' as the region tells."""
+"""Load of backend servers: own requests as counted here, those of others as reported."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,35 +7,35 @@
 from sparline._ids import BackendServerId, RegionName
 from sparline.fleet import BackendServer, LoadOf
 
-ToldLoad = Callable[[BackendServerId], LoadOf | None]
+ReportedLoad = Callable[[BackendServerId], LoadOf | None]
 NoteChange = Callable[[BackendServer, LoadOf, float | None], None]
 
-# A server's place is kept this long after its last request (ms), for its learned pace.
-REMEMBER_MS = 120_000.0
+# A server's load entry is kept this long after its last request (ms), so that its pace is too.
+IDLE_TTL_MS = 120_000.0
 
 
 @dataclass(slots=True)
 class OwnLoad:
-    """Hold what this instance has at one backend server."""
+    """Load of this instance on one backend server."""
 
     running: int = 0  # requests that have not ended
-    held_tokens: int = 0  # memory that they take
-    unread_tokens: int = 0  # prompt tokens without a first event
-    region: RegionName = RegionName("")  # where the server stands
+    held_tokens: int = 0  # cache memory that they take
+    unread_tokens: int = 0  # prompt tokens of requests without a first event
+    region: RegionName = RegionName("")  # region of the server
     used_at_ms: float = 0.0  # when a request was last placed
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
-    """Describe what a backend server had to read when this instance last gave it a prompt."""
+class Prefill:
+    """Prefill work of a backend server when this instance last sent it a prompt."""
 
-    at_ms: float  # when
-    tokens: int  # the prompt
-    before_tokens: int  # what it had to read before that
+    at_ms: float  # when it was sent
+    tokens: int  # tokens of the prompt
+    queued_tokens: int  # tokens that were queued before it
 
 
 class Reservation:
-    """Count one request at its backend server until it ends."""
+    """Counts one request on its backend server until it ends."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         unread_tokens: int,
         on_change: Callable[[LoadOf, float | None], None],
     ) -> None:
-        """Count it; `on_change` is told what has come or, below zero, gone, and what that showed."""
+        """Count it; `on_change` gets each load change, with the log factor of a measured prefill."""
         self._load = load
         self._on_change = on_change
         self._held_tokens = held_tokens
@@ -56,15 +56,18 @@
         load.used_at_ms = now_ms()
         on_change(LoadOf(1, held_tokens, unread_tokens), None)
 
-    def note_first_event(self, shown_log: float | None = None) -> None:
-        """Count the prompt as read; `shown_log` is what `PaceTable` learned of its server by it."""
-        read, self._unread_tokens = self._unread_tokens, 0
-        if read:
-            self._load.unread_tokens -= read
-            self._on_change(LoadOf(0, 0, -read), shown_log)
+    def note_first_event(self, log_factor: float | None = None) -> None:
+        """Count the prompt as prefilled.
+
+        `log_factor` is the result of `PaceTable.note_first_event`.
+        """
+        prefilled, self._unread_tokens = self._unread_tokens, 0
+        if prefilled:
+            self._load.unread_tokens -= prefilled
+            self._on_change(LoadOf(0, 0, -prefilled), log_factor)
 
     def release(self) -> None:
-        """Count the request as ended; further calls change nothing."""
+        """Count the request as ended; further calls have no effect."""
         if self._released:
             return
         self._released = True
@@ -77,22 +80,23 @@
 
 
 class LoadTable:
-    """Hold the load of every backend server that this instance knows of."""
+    """Holds the load of every backend server that this instance knows of."""
 
-    def __init__(self, region: RegionName, told: ToldLoad, note_change: NoteChange) -> None:
+    def __init__(self, region: RegionName, reported: ReportedLoad, note_change: NoteChange) -> None:
         """Start without load.
 
-        `told` returns what all instances have at a server, this one too, as far as is known;
-        `note_change` takes each change of this instance's part, and what a reading showed.
+        `reported` returns the reported load of all instances on a server, including this one;
+        `note_change` gets each change of this instance's part, with the log factor of a measured
+        prefill.
         """
         self._note_change = note_change
         self._own: dict[BackendServerId, OwnLoad] = {}
         self._region = region
-        self._told = told
-        self._readings: dict[BackendServerId, Reading] = {}
+        self._reported = reported
+        self._prefills: dict[BackendServerId, Prefill] = {}
 
     def reserve(self, server: BackendServer, held_tokens: int, unread_tokens: int) -> Reservation:
-        """Count a request at a backend server."""
+        """Count a request on a backend server."""
         load = self._own.get(server.id)
         if load is None:
             load = self._own[server.id] = OwnLoad(region=server.region)
@@ -100,36 +104,36 @@
             load,
             held_tokens,
             unread_tokens,
-            lambda change, shown_log: self._note_change(server, change, shown_log),
+            lambda change, log_factor: self._note_change(server, change, log_factor),
         )
         if unread_tokens:
-            before_tokens = self.of(server).unread_tokens - unread_tokens
-            self._readings[server.id] = Reading(now_ms(), unread_tokens, before_tokens)
+            queued_tokens = self.of(server).unread_tokens - unread_tokens
+            self._prefills[server.id] = Prefill(now_ms(), unread_tokens, queued_tokens)
         return reservation
 
-    def last_reading(self, server_id: BackendServerId) -> Reading | None:
-        """Return the reading that this instance last let a backend server begin."""
-        return self._readings.get(server_id)
+    def last_prefill(self, server_id: BackendServerId) -> Prefill | None:
+        """Return the latest prefill that this instance sent to a backend server."""
+        return self._prefills.get(server_id)
 
     def of(self, server: BackendServer) -> LoadOf:
         """Return the load of a backend server."""
         own = self.own(server.id)
-        told = self._told(server.id)
-        if told is None:
+        reported = self._reported(server.id)
+        if reported is None:
             return own
         return LoadOf(
-            max(own.running, told.running),
-            max(own.held_tokens, told.held_tokens),
-            max(own.unread_tokens, told.unread_tokens),
+            max(own.running, reported.running),
+            max(own.held_tokens, reported.held_tokens),
+            max(own.unread_tokens, reported.unread_tokens),
         )
 
     def own(self, server_id: BackendServerId) -> LoadOf:
-        """Return what this instance has at a backend server."""
+        """Return this instance's part of the load of a backend server."""
         load = self._own.get(server_id)
         return LoadOf(load.running, load.held_tokens, load.unread_tokens) if load else LoadOf()
 
-    def own_here(self) -> dict[str, LoadOf]:
-        """Return what this instance has at each backend server of its region."""
+    def own_in_region(self) -> dict[str, LoadOf]:
+        """Return this instance's part of the load of each backend server of its region."""
         return {
             server_id: self.own(server_id)
             for server_id, load in self._own.items()
@@ -137,11 +141,11 @@
         }
 
     def forget_old(self) -> None:
-        """Forget servers that have long had nothing."""
-        since = now_ms() - REMEMBER_MS
+        """Forget servers that have had no request for `IDLE_TTL_MS`."""
+        since = now_ms() - IDLE_TTL_MS
         self._own = {
             one: load for one, load in self._own.items() if load.running or load.used_at_ms >= since
         }
-        self._readings = {
-            one: reading for one, reading in self._readings.items() if one in self._own
+        self._prefills = {
+            one: prefill for one, prefill in self._prefills.items() if one in self._own
         }
--- a/sparline/placement/tests/test_server_limits.py
+++ b/sparline/placement/tests/test_server_limits.py
@@ -58,28 +58,28 @@
 
 
 @pytest.mark.parametrize(
-    ("answered", "told", "expected"),
+    ("answered", "peer_note", "expected"),
     [row[1:] for row in PEER_NOTES],
     ids=[row[0] for row in PEER_NOTES],
 )
-def test_newest_answer_of_any_instance_sets_the_limit(clock, answered, told, expected):
+def test_newest_answer_of_any_instance_sets_the_limit(clock, answered, peer_note, expected):
     limits = ServerLimitTable()
     limits.note_answer(S1, 9.9)
     limits.note_answer(S1, answered)
     clock[0] += 1_000
-    limits.take([told])
+    limits.merge_limits([peer_note])
     assert limits.limit_per_s(S1) == expected
 
 
 def test_limit_that_no_answer_repeats_is_forgotten(clock):
     limits = ServerLimitTable()
     limits.note_answer(S1, 1.8)
-    clock[0] += _server_limits.KEPT_MS - 1
+    clock[0] += _server_limits.LIMIT_TTL_MS - 1
     limits.forget_old()
-    assert limits.notes() == [note(1.8, round(_server_limits.KEPT_MS) - 1)]
+    assert limits.limits_to_send() == [note(1.8, round(_server_limits.LIMIT_TTL_MS) - 1)]
     clock[0] += 2
     limits.forget_old()
-    assert limits.notes() == []
+    assert limits.limits_to_send() == []
 
 
 @pytest.mark.parametrize("delay_ms", [1, 50, 400])
@@ -88,11 +88,11 @@
     first, second = ServerLimitTable(), ServerLimitTable()
     first.note_answer(S1, 1.8)
     start_ms = clock[0]
-    while clock[0] - start_ms <= _server_limits.KEPT_MS + 1_000:
+    while clock[0] - start_ms <= _server_limits.LIMIT_TTL_MS + 1_000:
         for sender, receiver in ((first, second), (second, first)):
-            notes = sender.notes()
+            notes = sender.limits_to_send()
             clock[0] += delay_ms
-            receiver.take(notes)
+            receiver.merge_limits(notes)
         clock[0] += 250
         first.forget_old()
         second.forget_old()
@@ -104,18 +104,18 @@
     limits = ServerLimitTable()
     for number in range(100):
         limits.note_answer(make_server(f"s{number}").id, 1.8)
-    assert len(limits.notes()) == _server_limits.MOST_TOLD
+    assert len(limits.limits_to_send()) == _server_limits.MAX_LIMITS_PER_DATAGRAM
 
 
 RATE_PER_S = 2.0
 WINDOW_MS = 4_000.0
 # Requests allowed in any window: 1.5 times the limit, and a few in flight.
-MOST_IN_WINDOW = 1.5 * RATE_PER_S * WINDOW_MS / 1000 + 5
+MAX_IN_WINDOW = 1.5 * RATE_PER_S * WINDOW_MS / 1000 + 5
 
 
 @dataclass
 class LimitedServer:
-    """Answer the instances of the first region without delay, with a limit or none."""
+    """Answers the instances of the first region without delay, with a limit or none."""
 
     per_s: float | None = RATE_PER_S
     answered: set[str] = field(default_factory=set)  # instances that have had an answer
@@ -190,13 +190,13 @@
     [(row[0], row[2]) for row in REGION_CASES],
     ids=[f"{row[0]}: {row[1]}" for row in REGION_CASES],
 )
-def test_all_instances_of_a_region_together_keep_to_a_limit(fleet, instances, change):
+def test_instances_of_a_region_together_respect_limit(fleet, instances, change):
     start(fleet, instances)
     server = LimitedServer()
     server.run(fleet, seconds=4)
     change(fleet)
     server.run(fleet, seconds=8)
-    assert most_in_window(server.sent_at_ms) <= MOST_IN_WINDOW
+    assert most_in_window(server.sent_at_ms) <= MAX_IN_WINDOW
     # Guards against shares that leave most of the limit unused.
     assert len(server.sent_at_ms) >= RATE_PER_S * 4
 
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -180,12 +180,12 @@
         )
         quotas = QuotaExchange(members, Allowance(self.quota_bounds, self.chance), self.quota_terms)
         server_limits = ServerLimitTable()
-        server_limits._chance = random.Random(ip)
+        server_limits._rng = random.Random(ip)
         sources = GossipSources(
-            recent_reads=list,
-            take_reads=lambda _reads: None,
-            server_limits=server_limits.notes,
-            take_server_limits=server_limits.take,
+            recent_prefix_uses=list,
+            merge_prefix_uses=lambda _reads: None,
+            server_limits=server_limits.limits_to_send,
+            take_server_limits=server_limits.merge_limits,
             store_revision=lambda: 1,
             store_reached=lambda: True,
         )
