--- a/sparline/forwarding/__init__.py
+++ b/sparline/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Forwarding: attempts, repeats, resumed streams, relays, and one end for each request."""
+"""Request forwarding: attempts, retries, stream resumption and relaying through peers."""
 
 from sparline.forwarding._attempt_types import (
     AttemptEnd,
--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -1,4 +1,4 @@
-"""One send to one backend server, here or by way of a peer, and what became of it."""
+"""A single attempt at a request, sent to a backend server directly or through a peer instance."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -21,43 +21,44 @@
 from sparline.requests import Reason, RoutedRequest
 from sparline.routes import RequestKind
 
-# A connection inside a region comes up in a few milliseconds; a lost packet is sent again
-# after a second, and a try elsewhere is quicker than that (ms).
+# Connection timeout within a region (ms). A connection opens in a few milliseconds there. A lost
+# SYN is retransmitted after one second, so retrying on another server is faster than waiting.
 CONNECT_NEAR_MS = 600.0
-# Between regions the way there and back alone takes over 100 ms (ms).
+# Connection timeout between regions, where the round trip alone takes over 100 ms (ms).
 CONNECT_FAR_MS = 1_200.0
-# A request that is watched waits at most this long for the connection beside its own (ms).
+# A monitored request is delayed by at most this long to open a probe connection (ms).
 WITNESS_OPEN_MS = 100.0
-# Connections beside a request's own that are looked at before it is sent (count): each look is a system call,
-# and a process that ends loses all of them.
+# Idle connections to the server that are recorded as probes before a request is sent (count). A
+# server process that exits loses all of its connections, so a few are enough. Each check is a
+# system call.
 MOST_WITNESSES = 2
-# How often a wait for bytes looks at the server's signs of life (ms).
+# Interval at which a pending read checks whether the server is still alive (ms).
 LOOK_MS = 400.0
-# A plain answer that may be asked for elsewhere is waited for this many usual times: sound
-# services answer nearly all requests within seven times their mean.
+# Timeout of a non-streaming response that can be retried elsewhere, as a multiple of the service's
+# typical response time. Healthy services answer nearly all requests within seven times their mean.
 PLAIN_PATIENCE = 8.0
-# Plain answers up to this size are read whole before anything is passed on (bytes).
+# Non-streaming responses up to this size are buffered completely before they are sent on (bytes).
 MOST_WHOLE_BYTES = 1_048_576
-# An event that is not whole by then is none (bytes); events of an answer hold some hundred.
+# Maximum size of a server-sent event (bytes). Typical events are a few hundred bytes long.
 MOST_EVENT_BYTES = 1_048_576
-# Answers from here on say that the backend server failed.
+# Lowest status code that reports a failure of the backend server.
 SERVER_ERRORS_FROM = 500
-# Answers that come from the addressed server, unlike misdirected answers and unsigned successes.
+# Responses that come from the addressed server itself, unlike misdirected and unsigned ones.
 SERVER_ANSWER_KINDS = (AnswerKind.RESULT, AnswerKind.NOT_RUN)
 
 Read = TypeVar("Read")
 
 
 class _ServerSilent(Exception):
-    """Say that a backend server shows no sign of life."""
+    """Signal that a backend server has become unresponsive."""
 
 
 class _TimeOver(Exception):
-    """Say that nobody waits any more, though no timer has told: this process stood still."""
+    """Signal that the deadline passed while the process was suspended, so that no timer fired."""
 
 
 class Attempt:
-    """Send a request once and pass its answer on."""
+    """Send a request once and forward its response to the caller."""
 
     def __init__(
         self,
@@ -68,7 +69,7 @@
         caller: CallerConnection,
         progress: Progress,
     ) -> None:
-        """Prepare; nothing is sent yet."""
+        """Prepare the attempt without sending anything."""
         self._tools = tools
         self._request = request
         self._placement = placement
@@ -80,7 +81,7 @@
         self._server_id = placement.server.id
 
     def run(self, terms: SendTerms) -> AttemptEnd:
-        """Send, read and pass on; closes the connection unless all went well."""
+        """Send the request and forward the response; close the connection after any failure."""
         connection = self._connect()
         if connection is None:
             self._note_unreachable()
@@ -102,18 +103,18 @@
             self._tools.pool.give_back(connection)
 
     def _broken_end(self) -> AttemptEnd:
-        """Return the end of an answer that broke off, and whether its server ended with it."""
+        """Return the end of an interrupted response and whether its server process has exited."""
         reason = self._broken_reason()
         if self._placement.peer is not None:
-            # The peer finds out what became of its server.
+            # The peer itself determines whether its backend server has exited.
             return AttemptEnd(AttemptResult.MAY_HAVE_RUN, reason)
         ended = self._ended_start()
-        # Something may listen for a process that has ended, or for the next one already.
+        # An open port proves nothing: a supervisor or a restarted process may be listening there.
         in_doubt = ended is None
         return AttemptEnd(AttemptResult.MAY_HAVE_RUN, reason, ended_server=ended, in_doubt=in_doubt)
 
     def _ended_start(self) -> BackendServerId | None:
-        """Return the start of the server that has ended, None where nothing shows that it has."""
+        """Return the server incarnation that has exited, or None without evidence of an exit."""
         if self._tools.has_ended(self._server_id):
             return self._server_id
         address = self._placement.server.address
@@ -122,13 +123,13 @@
         return self._tools.ends.witnessed_end(self._server_id, self._witnesses)
 
     def _find_witnesses(self, terms: SendTerms) -> tuple[BackendConnection, ...]:
-        """Return other connections to the server, a new one where the request is watched."""
+        """Return other connections to the server, opening one if the request is monitored."""
         if self._placement.peer is not None:
             return ()
         address = self._placement.server.address
         found = self._tools.pool.resting(address, MOST_WITNESSES)
         if not found and terms.is_watched:
-            # It is kept for use.
+            # The new connection stays in the pool for later requests.
             self._tools.pool.probe(address, WITNESS_OPEN_MS / 1000)
             found = self._tools.pool.resting(address, MOST_WITNESSES)
         return found
@@ -152,7 +153,7 @@
         try:
             connection = self._tools.pool.open(address, timeout_s)
         except OSError:
-            # The caller of this method notes the server as unreachable and logs it.
+            # run() records the server or peer as unreachable.
             return None
         if peer is not None:
             self._tools.note_round_trip(peer.region, now_ms() - began_ms)
@@ -165,7 +166,10 @@
             self._tools.health.note_unreachable(self._server_id)
 
     def _note_broken(self) -> None:
-        """Blame a peer only where it gave no answer: it cuts one short when its server does."""
+        """Record the failure, against a peer only if it sent no response.
+
+        A peer also cuts a response short when its own backend server does.
+        """
         if self._placement.peer is not None and not self._answer_began:
             self._tools.note_peer(self._placement.peer.note.ip, False)
         else:
@@ -189,7 +193,7 @@
             return end
         finally:
             if not answered:
-                # Whatever it still does for this request is to end.
+                # Closing the connection makes the server abort any remaining work.
                 connection.close()
 
     def _head(self, terms: SendTerms) -> bytes:
@@ -212,13 +216,13 @@
         return meaning
 
     def _note_server_state(self, meaning: AnswerMeaning) -> None:
-        """Record the rate limit and leaving state that a server's answer reports."""
+        """Record the rate limit and leaving state reported by a server's response."""
         self._tools.server_limits.note_answer(self._server_id, meaning.limit_per_s)
         if meaning.is_leaving:
             self._tools.note_leaving(self._server_id)
 
     def _wait(self, read: Callable[[], Read]) -> Read:
-        """Read on as long as the server may still be at work."""
+        """Retry the read until it returns, checking at intervals that the server is still alive."""
         began_ms = now_ms()
         while True:
             look = gevent.Timeout(LOOK_MS / 1000)
@@ -231,11 +235,11 @@
                 self._look(now_ms() - began_ms)
 
     def _look(self, waited_ms: float) -> None:
-        """Give a silent server up where the request can go elsewhere, and one that is no more."""
+        """Raise if the server has exited, or is unresponsive and the request can be moved."""
         if self._placement.peer is None and self._tools.has_ended(self._server_id):
-            raise ConnectionBroken("the server has started anew and holds nothing of this request")
+            raise ConnectionBroken("the backend server restarted and lost this request")
         if self._request.left_ms() <= 0:
-            # Timers stand still while the machine is suspended; the clock does not.
+            # Timers stop while the machine is suspended, but the clock does not.
             raise _TimeOver
         if not self._request.route.repeatable:
             return
@@ -289,7 +293,7 @@
         return self._pass_plain(connection, answer)
 
     def _pass_plain(self, connection: BackendConnection, answer: HttpAnswer) -> AttemptEnd:
-        """Read the answer whole, so that a cut one is never begun."""
+        """Buffer the complete response so that a truncated one never reaches the caller."""
         body = bytearray()
         while (piece := self._wait(lambda: connection.read_piece(answer))) is not None:
             body += piece
@@ -308,7 +312,7 @@
     def _pass_long(
         self, connection: BackendConnection, answer: HttpAnswer, first: bytes
     ) -> AttemptEnd:
-        """Pass a long answer on as it arrives; it ends only if it is whole."""
+        """Forward a large response as it arrives, finishing it only if it is complete."""
         self._begin(answer)
         self._caller.send(first)
         while (piece := connection.read_piece(answer)) is not None:
@@ -336,7 +340,7 @@
             self._tools.health.note_event(self._server_id)
             whole = self._progress.cutter.feed(piece)
             if self._progress.cutter.pending_bytes() > MOST_EVENT_BYTES:
-                raise ConnectionBroken(f"expected events of at most {MOST_EVENT_BYTES} bytes")
+                raise ConnectionBroken(f"server-sent event exceeds {MOST_EVENT_BYTES} bytes")
             if whole:
                 self._note_event()
                 self._begin(answer)
--- a/sparline/forwarding/_attempt_types.py
+++ b/sparline/forwarding/_attempt_types.py
@@ -1,4 +1,4 @@
-"""What attempts work with, leave behind and end in."""
+"""Dependencies, shared progress and results of attempts."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -14,71 +14,71 @@
 
 
 class AttemptResult(Enum):
-    """Name how an attempt ended."""
+    """Enumerate the results of an attempt."""
 
-    DELIVERED = "delivered"  # the caller has the whole answer
-    NOT_RUN = "not_run"  # it is proved that nothing ran
-    MAY_HAVE_RUN = "may_have_run"  # nothing is known
-    FAILED_ANSWER = "failed_answer"  # the server answered with a failure, not passed on yet
+    DELIVERED = "delivered"  # the caller received the complete response
+    NOT_RUN = "not_run"  # the request is proven not to have run
+    MAY_HAVE_RUN = "may_have_run"  # whether the request ran is unknown
+    FAILED_ANSWER = "failed_answer"  # server error response, not yet forwarded
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """Hold how an attempt ended."""
+    """Describe how an attempt ended."""
 
-    result: AttemptResult  # how
-    reason: Reason  # why
-    retry_after_ms: float = 0.0  # when the server asks to come back
-    ended_server: BackendServerId | None = None  # server that ended with it, None for none
-    is_region_full: bool = False  # whether no server of a peer's region would take it
-    in_doubt: bool = False  # whether the server may have ended, which nothing has shown yet
+    result: AttemptResult
+    reason: Reason
+    retry_after_ms: float = 0.0  # retry delay requested by the server, 0 if none
+    ended_server: BackendServerId | None = None  # server that exited while running it, if any
+    is_region_full: bool = False  # no server in the peer's region has capacity
+    in_doubt: bool = False  # the server may have exited, without evidence so far
 
 
 @dataclass(frozen=True, slots=True)
 class SentEnd:
-    """Hold how an attempt ended that a backend server may have begun to run."""
+    """Describe the end of an attempt that a backend server may have started to run."""
 
-    end: AttemptEnd  # how
+    end: AttemptEnd
     sent_ago_ms: float  # time since the request left this instance
-    has_begun: bool  # whether the caller has a part of the answer
+    has_begun: bool  # whether the caller received part of the response
 
 
 @dataclass(slots=True)
 class Progress:
-    """Hold what the attempts at one request have left behind."""
-
-    cutter: EventCutter  # what the caller has of a stream
-    sends: int = 0  # requests that left this instance
-    refused_sends: int = 0  # those of them that are proved not to have run
-    sent_at_ms: float = 0.0  # when the last of them left
-    may_have_run: bool = False  # whether any of them may have run
-    began: bool = False  # whether the caller has the head of an answer
-    first_at_ms: float | None = None  # when the first event or answer arrived
-    heard_at_ms: float | None = None  # when the newest event arrived
-    longest_pause_ms: float = 0.0  # longest time between two events
-    failed_answer: tuple[HttpAnswer, bytes] | None = None  # a server's failure, kept to pass on
-    excluded: set[str] = field(default_factory=set)  # backend servers that were tried
+    """Track state shared by the attempts at one request."""
+
+    cutter: EventCutter  # event parser that tracks what the caller received
+    sends: int = 0  # attempts sent by this instance
+    refused_sends: int = 0  # sent attempts proven not to have run
+    sent_at_ms: float = 0.0  # when the last attempt was sent
+    may_have_run: bool = False  # whether any attempt may have run
+    began: bool = False  # whether a response head was sent to the caller
+    first_at_ms: float | None = None  # when the first event or response arrived
+    heard_at_ms: float | None = None  # when the latest event arrived
+    longest_pause_ms: float = 0.0  # longest interval between two events
+    failed_answer: tuple[HttpAnswer, bytes] | None = None  # server error response to forward
+    excluded: set[str] = field(default_factory=set)  # backend servers that must not be tried again
 
     def runs(self) -> int:
-        """Return how often the request may have run."""
+        """Return the maximum number of times the request may have run."""
         return self.sends - self.refused_sends
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptTools:
-    """Hold what attempts work with."""
+    """Bundle the dependencies of attempts."""
 
-    pool: ConnectionPool  # kept connections
-    backend_wire: Wire  # protocol of backend servers
-    peer_wire: Wire  # protocol between instances
-    peer_port: int  # where instances take relayed requests
-    health: HealthTable  # first-hand knowledge of servers
+    pool: ConnectionPool  # persistent connections
+    backend_wire: Wire  # protocol used with backend servers
+    peer_wire: Wire  # protocol used between instances
+    peer_port: int  # port on which instances accept relayed requests
+    health: HealthTable  # server health observed by this instance
     server_limits: ServerLimitTable  # request rate limits set by servers
     note_leaving: Callable[[BackendServerId], None]  # marks a server as leaving
-    pace: PaceTable  # usual times
-    watch: WatchTables  # what streams teach
-    may_move: Callable[[RoutedRequest, Progress], bool]  # whether another try is possible
-    note_peer: Callable[[str, bool], None]  # whether a peer could be reached
-    note_round_trip: Callable[[RegionName, float], None]  # time that a connection took to open
-    ends: ServerEnds  # whether servers that broke an answer off have ended
-    has_ended: Callable[[BackendServerId], bool]  # whether that start of a server is over
+    pace: PaceTable  # typical response times
+    watch: WatchTables  # timing statistics learned from streams
+    may_move: Callable[[RoutedRequest, Progress], bool]  # whether it may be sent elsewhere
+    note_peer: Callable[[str, bool], None]  # records whether a peer was reachable
+    note_round_trip: Callable[[RegionName, float], None]  # records a connection's opening time
+    ends: ServerEnds  # detects whether servers have exited
+    has_ended: Callable[[BackendServerId], bool]  # whether that incarnation has exited
--- a/sparline/forwarding/_events.py
+++ b/sparline/forwarding/_events.py
@@ -1,4 +1,4 @@
-"""Server-sent events cut out of a stream of bytes, whole or not at all."""
+"""Splitting of a byte stream into complete server-sent events."""
 
 import re
 
@@ -7,20 +7,20 @@
 
 
 class EventCutter:
-    """Pass on whole events only, so that a resumed stream repeats and lacks nothing."""
+    """Emit only complete events so that a resumed stream neither repeats nor omits any."""
 
     def __init__(self, resume_after: int | None) -> None:
-        """Start after the last event that the caller has."""
-        self.last_id = resume_after  # id of the last whole event, None before the first
-        self.events = 0  # whole events so far
+        """Start after the last event that the caller received."""
+        self.last_id = resume_after  # id of the last complete event, None before the first
+        self.events = 0  # number of complete events
         self._pending = b""
 
     def begin_attempt(self) -> None:
-        """Drop a broken event of the run before; the next run sends it again."""
+        """Discard the previous attempt's partial event; the next attempt sends it again."""
         self._pending = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the bytes of the events that are whole now."""
+        """Append data and return the bytes of the events that are now complete."""
         self._pending += data
         end = 0
         for match in EVENT_END.finditer(self._pending):
@@ -33,10 +33,10 @@
         return whole
 
     def pending_bytes(self) -> int:
-        """Return how much of an event that is not whole is held."""
+        """Return the number of buffered bytes of the incomplete event."""
         return len(self._pending)
 
     def rest(self) -> bytes:
-        """Return bytes behind the last whole event, for an answer that ended properly."""
+        """Return the bytes after the last complete event of a response that ended normally."""
         rest, self._pending = self._pending, b""
         return rest
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -1,4 +1,4 @@
-"""The way of one request: place it, send it, try again where that is harmless, end it."""
+"""Lifecycle of a forwarded request: server selection, attempts, safe retries, final response."""
 
 import random
 from collections.abc import Callable
@@ -25,20 +25,22 @@
 from sparline.quarantine import CrashTable, Learnt, RequestDigest, Verdict
 from sparline.requests import Origin, Reason, RoutedRequest
 
-# Sends that were proved not to have run are repeated at most so often (count).
+# A request is given up after this many attempts that are proven not to have run (count).
 MOST_NOT_RUN = 3
-# Less than this is left: nothing useful can be done any more (ms).
+# With less time than this left, another attempt can't complete (ms).
 LEAST_LEFT_MS = 10.0
 RETRY_AFTER_DEFAULT_MS = 300.0
-# A stream that waits for a less busy engine looks for one so often (ms), within a factor, and one
-# that nothing took or could take tries again so often: until its caller leaves, so that a
-# short wait for room does not cut it.
+# An interrupted stream polls for a less busy engine at the first interval, and retries at the
+# second one if no server accepted or could accept it (ms). Both are randomized by a factor from
+# RESUME_SPREAD. It retries until its caller is expected to disconnect, so that a short lack of
+# capacity does not abort the stream.
 RESUME_STEP_MS = 40.0
 NOT_RUN_REST_MS = 150.0
 RESUME_SPREAD = (0.5, 1.5)
-# A try of a request under which servers have ended one after the other may reach so many (count).
+# Maximum number of servers that one try of a suspected request may reach (count). A request is
+# suspected once several servers have exited while running it.
 SUSPECT_SENDS = 1
-# Refusals that hold whichever server of the region is asked.
+# Refusal reasons that apply to every server in the region.
 NO_ROOM = (Reason.DEADLINE_UNREACHABLE, Reason.NO_BACKEND)
 WITHDRAWN_TEXT = b"Authorization: expected a key in force, found one that was just withdrawn\n"
 TEXT_TYPE = (b"Content-Type", b"text/plain; charset=utf-8")
@@ -50,43 +52,43 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEnd:
-    """Hold what became of a request, for the log and the counters."""
+    """Describe the outcome of a request for the log and metrics."""
 
-    status: int  # status that the caller got, 0 for none
-    reason: Reason  # why it is not a whole answer of a backend server
+    status: int  # status that the caller received, 0 if none or aborted
+    reason: Reason  # why it did not get a complete backend response
     ran: bool  # whether it may have run
-    placement: Placement | None  # last place
-    refusal: Refusal | None  # why there was no (further) place, None where there was one
-    progress: Progress  # what the attempts left
+    placement: Placement | None  # last selected server
+    refusal: Refusal | None  # why no server could be selected, if so
+    progress: Progress  # state shared by the attempts
 
 
 @dataclass(frozen=True, slots=True)
 class ForwarderParts:
-    """Hold what a forwarder works with."""
+    """Bundle the dependencies of a forwarder."""
 
-    chooser: Chooser  # where requests go
-    chance: random.Random  # spreads what waits
-    loads: LoadTable  # counts of requests at servers
-    retries: RetryWindow  # budget for repeats
-    tools: AttemptTools  # connections and protocols
-    note_retry: Callable[[RoutedRequest, Placement, AttemptEnd], None]  # counters and log
-    note_broken: Callable[[RoutedRequest, Placement, SentEnd], None]  # counters and log
-    crashes: CrashTable  # servers that ended under requests
-    is_barred: Callable[[RoutedRequest], bool]  # whether its key was withdrawn since it came
-    refusal_headers: Callable[[OwnAnswer], Headers]  # for answers of this instance's own
+    chooser: Chooser  # selects backend servers
+    chance: random.Random  # random number generator for jitter
+    loads: LoadTable  # requests in flight by server
+    retries: RetryWindow  # retry budget
+    tools: AttemptTools  # dependencies of attempts
+    note_retry: Callable[[RoutedRequest, Placement, AttemptEnd], None]  # logs and counts a retry
+    note_broken: Callable[[RoutedRequest, Placement, SentEnd], None]  # logs and counts a break
+    crashes: CrashTable  # servers that exited while running requests
+    is_barred: Callable[[RoutedRequest], bool]  # whether its API key was revoked
+    refusal_headers: Callable[[OwnAnswer], Headers]  # for responses generated here
 
 
 class Forwarder:
-    """Forward requests; each gets exactly one end."""
+    """Forward requests and end each of them exactly once."""
 
     def __init__(self, parts: ForwarderParts) -> None:
-        """Forward with the parts of one instance."""
+        """Use the dependencies of one instance."""
         self._parts = parts
 
     def forward(
         self, request: RoutedRequest, caller: CallerConnection, sends_left: int
     ) -> RequestEnd:
-        """Answer a request; `sends_left` bounds the backend servers that may run it."""
+        """Respond to a request; at most `sends_left` backend servers may run it."""
         progress = Progress(EventCutter(request.resume_after))
         self._parts.retries.note_request(request.service)
         handler = gevent.getcurrent()
@@ -108,7 +110,7 @@
 
 
 class _Run:
-    """Hold one request while it is forwarded."""
+    """Hold the state of one request while it is forwarded."""
 
     def __init__(
         self,
@@ -126,7 +128,7 @@
         self._progress = progress
         self._digest: RequestDigest | None = None
         self._ended_server: BackendServerId | None = None
-        self._full_end: AttemptEnd | None = None  # a region's word that it has no room
+        self._full_end: AttemptEnd | None = None  # last refusal by a region without capacity
         self.placement: Placement | None = None
         self.refusal: Refusal | None = None
 
@@ -172,12 +174,12 @@
         return self._digest
 
     def _verdict(self) -> Verdict:
-        """Return what may be done with the request; its digest is worked out only if it matters."""
+        """Return the quarantine verdict; compute the digest only if any crash is recorded."""
         crashes = self._parts.crashes
         return Verdict.CLEAR if crashes.is_empty else crashes.verdict(self._own_digest())
 
     def _rest(self, usual_ms: float) -> None:
-        """Let a stream that broke off wait for a moment."""
+        """Sleep for a randomized delay before an interrupted stream is retried."""
         gevent.sleep(usual_ms * self._parts.chance.uniform(*RESUME_SPREAD) / 1000)
 
     def _excluded(self) -> frozenset[BackendServerId]:
@@ -186,7 +188,7 @@
     def _attempt(self, place: Placement) -> AttemptEnd:
         request = self._request
         assert request.route.repeatable or not self._progress.may_have_run, (
-            f"request {request.request_id} may not be repeated and may have run"
+            f"request {request.request_id} is not repeatable and may already have run"
         )
         held = request.prompt.held_tokens if request.prompt else 0
         reservation = self._parts.loads.reserve(place.server, held, place.effort_tokens)
@@ -210,7 +212,10 @@
         return end
 
     def _is_doubted(self) -> bool:
-        """Tell whether the request broke off before; its digest is worked out only if it matters."""
+        """Tell whether the request had a recent unexplained interruption.
+
+        The digest is computed only if any such interruption is recorded.
+        """
         ends = self._parts.tools.ends
         return ends.has_doubts and ends.is_doubted(self._own_digest())
 
@@ -222,7 +227,8 @@
             if end.reason is not Reason.CONNECT_FAILED:
                 self._progress.refused_sends += 1
             if self._progress.began:
-                # It may go there once there is room; health passes the server over meanwhile.
+                # The stream may return to this server once it has capacity. Until then the health
+                # table excludes the server from selection.
                 return
         elif end.result is not AttemptResult.DELIVERED:
             self._progress.may_have_run = True
@@ -235,14 +241,14 @@
             self._parts.note_broken(self._request, place, sent)
 
     def _note_region_full(self, place: Placement, end: AttemptEnd) -> None:
-        """Leave the whole region of a place alone: any instance there would say the same."""
+        """Exclude the whole region, since every instance in it would refuse the request."""
         ids = self._parts.chooser.note_region_full(self._request, place)
         if not self._progress.began:
             self._progress.excluded.update(ids)
             self._full_end = end
 
     def _note_crash(self, place: Placement, end: AttemptEnd) -> None:
-        """Note a server that ended with the request, and repeat a suspect no more."""
+        """Record a server exit during the request and stop retrying a suspected request."""
         if end.in_doubt:
             self._parts.tools.ends.wait_for_word(self._own_digest(), place.server.id)
         if end.ended_server is None:
@@ -254,7 +260,7 @@
             self._sends_left = 0
 
     def _why_stop(self, place: Placement, end: AttemptEnd) -> Reason | None:
-        """Return why there is no further try, None if there is one."""
+        """Return the reason to stop retrying, or None to retry."""
         reached_a_server = end.reason not in (Reason.CONNECT_FAILED, Reason.PEER_NO_ROOM)
         if end.result is AttemptResult.NOT_RUN:
             waits = not reached_a_server and is_awaited(self._request, self._progress)
@@ -269,14 +275,14 @@
         return None
 
     def may_repeat(self) -> bool:
-        """Tell whether a second run is harmless and allowed."""
+        """Tell whether the request is repeatable and has attempts left."""
         return self._request.route.repeatable and self._sends_left > 0
 
     def _end_unplaced(self, refusal: Refusal) -> RequestEnd:
         if self._progress.failed_answer is not None and not self._progress.began:
             return self._pass_failure_on()
         if self._full_end is not None and refusal.reason is Reason.NO_BACKEND:
-            # There are servers: a full region tells its callers when to come back.
+            # Servers exist but have no capacity, so the full region's Retry-After applies.
             return self._end_own(self._full_end.reason, self._full_end.retry_after_ms)
         return self._end_own(refusal.reason, refusal.retry_after_ms)
 
@@ -286,14 +292,14 @@
         return self._end_own(stop, end.retry_after_ms or RETRY_AFTER_DEFAULT_MS)
 
     def _pass_failure_on(self) -> RequestEnd:
-        """Give the caller the backend server's own failure."""
+        """Forward the backend server's own error response to the caller."""
         assert self._progress.failed_answer is not None
         answer, body = self._progress.failed_answer
         self._caller.answer(answer.status, end_to_end(answer.headers), body)
         return self._ended(answer.status, Reason.BACKEND_FAILED)
 
     def _end_quarantined(self) -> RequestEnd:
-        """Tell a caller that the request is not sent on; servers ran it, and may not again."""
+        """Reject a quarantined request that servers have run and must not run again."""
         if self._progress.began:
             return self._cut(Reason.QUARANTINED)
         headers = self._parts.refusal_headers(OwnAnswer(ran=True, quarantined=True))
@@ -301,7 +307,7 @@
         return self._ended(502, Reason.QUARANTINED)
 
     def _end_barred(self) -> RequestEnd:
-        """Send the request of a key that was withdrawn nowhere (again)."""
+        """End a request whose API key was revoked without sending it again."""
         if self._progress.began:
             return self._cut(Reason.KEY_WITHDRAWN)
         if self._progress.may_have_run or self._request.origin is Origin.RELAY:
@@ -310,7 +316,7 @@
         return self._ended(401, Reason.KEY_WITHDRAWN, ran=False)
 
     def _end_own(self, reason: Reason, retry_after_ms: float) -> RequestEnd:
-        """End with an answer of this instance; never call not run what may have run."""
+        """End with a response generated here; never report as not run what may have run."""
         if self._progress.began:
             return self._cut(reason)
         ran = self._progress.may_have_run
@@ -320,7 +326,7 @@
         return self._answer_own(status, reason, ran, retry_after_ms)
 
     def end_late(self) -> RequestEnd:
-        """End a request whose time is over."""
+        """End a request whose time limit has expired."""
         in_time = now_ms() - self._request.arrived_at_ms
         route_timeout = in_time >= self._request.route.timeout_ms - LEAST_LEFT_MS
         reason = Reason.ROUTE_TIMEOUT if route_timeout else Reason.DEADLINE_PASSED
@@ -345,7 +351,7 @@
         return self._ended(status, reason, ran)
 
     def _cut(self, reason: Reason) -> RequestEnd:
-        """End the connection without the framed end, so that the answer shows as cut."""
+        """Close the connection without the final chunk so that the truncation is visible."""
         self._caller.closing = True
         return self._ended(0, reason)
 
@@ -354,7 +360,7 @@
 
 
 def may_move(request: RoutedRequest, progress: Progress) -> bool:
-    """Tell whether a request that waits for a silent server may be sent elsewhere."""
+    """Tell whether a request waiting for an unresponsive server may be sent elsewhere."""
     return (
         request.origin is Origin.CALLER
         and request.route.repeatable
--- a/sparline/forwarding/_resume_wait.py
+++ b/sparline/forwarding/_resume_wait.py
@@ -1,4 +1,4 @@
-"""How long a stream that broke off waits for an engine, and its caller for the stream."""
+"""Time limits for resuming interrupted streams."""
 
 from sparline._clock import now_ms
 from sparline.forwarding._attempt_types import Progress
@@ -6,21 +6,21 @@
 from sparline.requests import RoutedRequest
 from sparline.routes import Route
 
-# A stream that broke off goes on where an engine's queue is below this part of the wanted time.
-# It is late already; the streams of an engine that ends would else all be read before what can
-# still be in time.
+# An interrupted stream resumes at once on an engine whose queue is shorter than this fraction of
+# the target latency. It is late already. Without the limit, all streams of an exited engine would
+# be processed ahead of requests that can still meet their target.
 QUEUE_SHARE = 0.25
-# It waits for such an engine for this part of the pause at which its caller gives it up.
+# It waits for such an engine for this fraction of the pause after which its caller gives up.
 PATIENCE_SHARE = 0.5
-# Callers give a stream up after a pause of so long (ms), or of so many wanted times or wanted
-# longest pauses, whichever is longest.
+# Callers are expected to give up on a stream after the longest of: this pause (ms), this multiple
+# of the target latency, and this multiple of the target pause between events.
 GIVEN_UP_LEAST_MS = 2_000.0
 GIVEN_UP_TARGETS = 4.0
 GIVEN_UP_PAUSES = 8.0
 
 
 def resumes_later(request: RoutedRequest, progress: Progress, place: Placement) -> bool:
-    """Tell whether a stream that broke off is to wait before it goes on at a place."""
+    """Tell whether an interrupted stream should wait instead of resuming on the selected server."""
     if not progress.began and request.resume_after is None:
         return False
     queue_ms = place.expected_ms - place.reading_ms
@@ -30,7 +30,7 @@
 
 
 def is_awaited(request: RoutedRequest, progress: Progress) -> bool:
-    """Tell whether a caller that has a part of a stream still waits for its rest."""
+    """Tell whether the caller of an interrupted stream is still expected to be waiting."""
     return progress.began and _silent_ms(request, progress) < given_up_ms(request.route)
 
 
@@ -40,7 +40,7 @@
 
 
 def given_up_ms(route: Route) -> float:
-    """Return the pause at which callers give a stream up."""
+    """Return the pause after which callers give up on a stream (ms)."""
     return max(
         GIVEN_UP_LEAST_MS,
         GIVEN_UP_TARGETS * route.wanted_latency_ms,
--- a/sparline/forwarding/_retry_window.py
+++ b/sparline/forwarding/_retry_window.py
@@ -1,4 +1,4 @@
-"""A budget for repeats, shared out between instances without a word between them."""
+"""Retry budget that is divided between instances without communication."""
 
 from collections import deque
 from collections.abc import Callable
@@ -7,24 +7,25 @@
 from sparline._clock import now_ms
 from sparline.routes import ServiceName
 
-# Part of the fleet's budget that is used, so that late arrivals stay within it.
+# Fraction of the budget that is used; the rest absorbs instances that join late.
 BUDGET_USED = 0.7
-# Repeats beyond the ratio that an instance allows itself while it may not know the others (count):
-# the first one, after the part above. Those that start together would each take the whole slack.
+# Limit on an instance's share of the slack while it may not know all other instances (count); after
+# BUDGET_USED it allows one retry. Without it, instances that start together would each take
+# the whole slack.
 UNSETTLED_SLACK = 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class RetryRule:
-    """Bound the sends to a service beyond the first of each request, over all instances."""
+    """Limit the retries of requests to a service over all instances."""
 
-    ratio: float  # repeats for each request of the window
-    slack: float  # repeats beyond that, for the whole fleet
-    window_ms: float  # length of the window
+    ratio: float  # retries per request in the window
+    slack: float  # additional retries for the whole fleet
+    window_ms: float  # length of the sliding window
 
 
 class RetryWindow:
-    """Count requests and repeats of the last window, by service."""
+    """Enforce the retry budget per service over a sliding window."""
 
     def __init__(
         self,
@@ -32,9 +33,9 @@
         sharing: Callable[[], int],
         is_settled: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Bound repeats by a rule.
+        """Limit retries by a rule.
 
-        `sharing` tells how many instances share the slack, `is_settled` whether these are likely
+        `sharing` returns how many instances share the slack, `is_settled` whether these are likely
         to be all of them.
         """
         self._rule = rule
@@ -44,11 +45,11 @@
         self._repeats: dict[ServiceName, deque[float]] = {}
 
     def note_request(self, service: ServiceName) -> None:
-        """Count a request of a caller."""
+        """Count a request from a caller."""
         self._recent(self._requests, service).append(now_ms())
 
     def spend(self, service: ServiceName) -> bool:
-        """Take one repeat; False where the budget is used up."""
+        """Use up one retry; return False if the budget is exhausted."""
         repeats = self._recent(self._repeats, service)
         earned = self._rule.ratio * len(self._recent(self._requests, service))
         if len(repeats) + 1 > BUDGET_USED * (earned + self._slack()):
--- a/sparline/forwarding/tests/test_resume_wait.py
+++ b/sparline/forwarding/tests/test_resume_wait.py
@@ -26,24 +26,24 @@
     )
 
 
-# The wanted time is 800 ms and the wanted pause 400 ms, so callers leave after 3,200 ms.
+# Target latency 800 ms and target pause 400 ms, so callers are expected to give up after 3,200 ms.
 ROWS = [
-    # what the caller has, time since the last event (ms), queue (ms), waits
+    # name, whether the response has begun, time since the last event (ms), queue (ms), waits
     ("a new request", False, 0, 2_000.0, False),
     ("a stream, short queue", True, 0, 190.0, False),
     ("a stream, long queue", True, 100, 210.0, True),
-    ("a stream that waited long", True, 1_700, 5_000.0, False),
+    ("a stream past its wait limit", True, 1_700, 5_000.0, False),
 ]
 
 
 @pytest.mark.parametrize("row", ROWS, ids=[row[0] for row in ROWS])
-def test_a_stream_that_broke_off_waits_for_a_short_queue(row):
+def test_interrupted_stream_waits_for_short_queue(row):
     _, began, ago_ms, queue_ms, waits = row
     progress = Progress(EventCutter(None), began=began, heard_at_ms=now_ms() - ago_ms)
     assert resumes_later(make_request(), progress, place(queue_ms)) is waits
 
 
-def test_a_stream_that_a_caller_resumes_waits_from_its_arrival():
+def test_stream_resumed_by_caller_waits_from_arrival():
     progress = Progress(EventCutter(3))
     assert resumes_later(make_request(resume_after=3), progress, place(500.0))
     old = make_request(resume_after=3, arrived_at_ms=now_ms() - 1_700.0)
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(("wanted_ms", "pause_ms", "given_up"), GIVEN_UP)
-def test_when_callers_give_a_stream_up(wanted_ms, pause_ms, given_up):
+def test_pause_after_which_callers_give_up(wanted_ms, pause_ms, given_up):
     assert (
         given_up_ms(make_route(wanted_latency_ms=wanted_ms, pause_target_ms=pause_ms)) == given_up
     )
--- a/sparline/forwarding/tests/test_retry_window.py
+++ b/sparline/forwarding/tests/test_retry_window.py
@@ -10,7 +10,7 @@
 RULE = RetryRule(ratio=0.2, slack=40, window_ms=10_000)
 
 BUDGETS = [
-    # requests, instances, repeats allowed: 0.7 of ratio and slack
+    # requests, instances, allowed retries: 0.7 of ratio and slack
     (0, 1, 28),
     (100, 1, 42),
     (0, 4, 7),
@@ -20,14 +20,14 @@
 
 
 @pytest.mark.parametrize(("requests", "instances", "allowed"), BUDGETS)
-def test_repeats_are_bounded(requests, instances, allowed):
+def test_retries_are_bounded(requests, instances, allowed):
     window = RetryWindow(RULE, lambda: instances)
     for _ in range(requests):
         window.note_request(ONE)
     assert sum(window.spend(ONE) for _ in range(200)) == allowed
 
 
-def test_each_service_has_its_own_budget_and_the_window_slides(monkeypatch):
+def test_budget_is_per_service_and_window_slides(monkeypatch):
     clock = [0.0]
     monkeypatch.setattr(_retry_window, "now_ms", lambda: clock[0])
     window = RetryWindow(RULE, lambda: 1)
@@ -38,17 +38,17 @@
     assert window.spend(ONE)
 
 
-# Requests whose callers wait for each instance while it starts (count): 1.5 s of them.
+# Requests pending at each instance when it starts (count): the arrivals of 1.5 s.
 WAITING = 12
 
 
-def test_instances_that_start_together_keep_to_the_budget_of_all(monkeypatch):
-    """Bound what instances that don't know each other yet repeat.
+def test_instances_starting_together_stay_within_fleet_budget(monkeypatch):
+    """Limit retries of instances that have not discovered each other yet.
 
-    The budget beyond a share of the requests is divided by the instances that one knows. All 78
-    start within a second, callers wait at each of them, and all of their first requests fail, as
-    where the backend servers were lost too. Divided by those that were known at each moment, they
-    sent 486 repeats; all together may send 385.
+    Each instance divides the slack by the number of instances it knows. All 78 start within a
+    second with pending requests, and every first attempt fails, as after a loss of the backend
+    servers. Dividing by the instances known at each moment allowed 486 retries; the fleet's budget
+    is 385.
     """
     fleet = FakeFleet(random.Random(1), seeds=[f"10.{region}.0.1" for region in (1, 2, 3)])
     fleet.install(monkeypatch)
@@ -67,5 +67,5 @@
                 one.retries.note_request(ONE)
                 repeats += one.retries.spend(ONE)
     assert repeats <= RETRY_RULE.ratio * requests + RETRY_RULE.slack
-    # A repeat here and there is allowed from the start.
+    # On average each instance is allowed at least one retry while the fleet is starting.
     assert repeats >= len(fleet.instances)
