--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -23,37 +23,37 @@
 
 # Connection timeout within a region (ms). A connection opens in a few milliseconds there. A lost
 # SYN is retransmitted after one second, so retrying on another server is faster than waiting.
-CONNECT_NEAR_MS = 600.0
+BACKEND_CONNECT_TIMEOUT_MS = 600.0
 # Connection timeout between regions, where the round trip alone takes over 100 ms (ms).
-CONNECT_FAR_MS = 1_200.0
+PEER_CONNECT_TIMEOUT_MS = 1_200.0
 # A monitored request is delayed by at most this long to open a probe connection (ms).
-WITNESS_OPEN_MS = 100.0
+PROBE_CONNECT_TIMEOUT_MS = 100.0
 # Idle connections to the server that are recorded as probes before a request is sent (count). A
 # server process that exits loses all of its connections, so a few are enough. Each check is a
 # system call.
-MOST_WITNESSES = 2
+MAX_PROBE_CONNECTIONS = 2
 # Interval at which a pending read checks whether the server is still alive (ms).
-LOOK_MS = 400.0
+LIVENESS_CHECK_INTERVAL_MS = 400.0
 # Timeout of a non-streaming response that can be retried elsewhere, as a multiple of the service's
 # typical response time. Healthy services answer nearly all requests within seven times their mean.
-PLAIN_PATIENCE = 8.0
+PLAIN_ANSWER_TIMEOUT_FACTOR = 8.0
 # Non-streaming responses up to this size are buffered completely before they are sent on (bytes).
-MOST_WHOLE_BYTES = 1_048_576
+MAX_BUFFERED_BYTES = 1_048_576
 # Maximum size of a server-sent event (bytes). Typical events are a few hundred bytes long.
-MOST_EVENT_BYTES = 1_048_576
+MAX_EVENT_BYTES = 1_048_576
 # Lowest status code that reports a failure of the backend server.
-SERVER_ERRORS_FROM = 500
+MIN_SERVER_ERROR_STATUS = 500
 # Responses that come from the addressed server itself, unlike misdirected and unsigned ones.
 SERVER_ANSWER_KINDS = (AnswerKind.RESULT, AnswerKind.NOT_RUN)
 
-Read = TypeVar("Read")
+ReadResult = TypeVar("ReadResult")
 
 
-class _ServerSilent(Exception):
+class _ServerUnresponsive(Exception):
     """Signal that a backend server has become unresponsive."""
 
 
-class _TimeOver(Exception):
+class _DeadlinePassed(Exception):
     """Signal that the deadline passed while the process was suspended, so that no timer fired."""
 
 
@@ -75,8 +75,8 @@
         self._placement = placement
         self._caller = caller
         self._progress = progress
-        self._answer_began = False
-        self._witnesses: tuple[BackendConnection, ...] = ()
+        self._answer_received = False
+        self._probe_connections: tuple[BackendConnection, ...] = ()
         self._watch = StreamWatch(tools.watch, request, placement, reservation)
         self._server_id = placement.server.id
 
@@ -86,55 +86,55 @@
         if connection is None:
             self._note_unreachable()
             return AttemptEnd(AttemptResult.NOT_RUN, Reason.CONNECT_FAILED)
-        self._witnesses = self._find_witnesses(terms)
+        self._probe_connections = self._find_probe_connections(terms)
         self._tools.health.note_sent(self._server_id)
         try:
             return self._exchange(connection, terms)
         except ConnectionBroken:
-            self._note_broken()
-            return self._broken_end()
-        except _ServerSilent:
+            self._note_interruption()
+            return self._interrupted_end()
+        except _ServerUnresponsive:
             self._tools.health.note_failure(self._server_id, "silent")
             return AttemptEnd(AttemptResult.MAY_HAVE_RUN, Reason.BACKEND_SILENT, in_doubt=True)
-        except _TimeOver:
+        except _DeadlinePassed:
             return AttemptEnd(AttemptResult.MAY_HAVE_RUN, Reason.DEADLINE_PASSED)
         finally:
             self._tools.health.note_done(self._server_id)
             self._tools.pool.give_back(connection)
 
-    def _broken_end(self) -> AttemptEnd:
+    def _interrupted_end(self) -> AttemptEnd:
         """Return the end of an interrupted response and whether its server process has exited."""
-        reason = self._broken_reason()
+        reason = self._interruption_reason()
         if self._placement.peer is not None:
             # The peer itself determines whether its backend server has exited.
             return AttemptEnd(AttemptResult.MAY_HAVE_RUN, reason)
-        ended = self._ended_start()
+        ended = self._exited_incarnation()
         # An open port proves nothing: a supervisor or a restarted process may be listening there.
         in_doubt = ended is None
         return AttemptEnd(AttemptResult.MAY_HAVE_RUN, reason, ended_server=ended, in_doubt=in_doubt)
 
-    def _ended_start(self) -> BackendServerId | None:
+    def _exited_incarnation(self) -> BackendServerId | None:
         """Return the server incarnation that has exited, or None without evidence of an exit."""
         if self._tools.has_ended(self._server_id):
             return self._server_id
         address = self._placement.server.address
         if self._tools.ends.reach(self._server_id, address) is Reach.REFUSED:
             return self._server_id
-        return self._tools.ends.witnessed_end(self._server_id, self._witnesses)
+        return self._tools.ends.witnessed_end(self._server_id, self._probe_connections)
 
-    def _find_witnesses(self, terms: SendTerms) -> tuple[BackendConnection, ...]:
+    def _find_probe_connections(self, terms: SendTerms) -> tuple[BackendConnection, ...]:
         """Return other connections to the server, opening one if the request is monitored."""
         if self._placement.peer is not None:
             return ()
         address = self._placement.server.address
-        found = self._tools.pool.resting(address, MOST_WITNESSES)
+        found = self._tools.pool.resting(address, MAX_PROBE_CONNECTIONS)
         if not found and terms.is_watched:
             # The new connection stays in the pool for later requests.
-            self._tools.pool.probe(address, WITNESS_OPEN_MS / 1000)
-            found = self._tools.pool.resting(address, MOST_WITNESSES)
+            self._tools.pool.probe(address, PROBE_CONNECT_TIMEOUT_MS / 1000)
+            found = self._tools.pool.resting(address, MAX_PROBE_CONNECTIONS)
         return found
 
-    def _broken_reason(self) -> Reason:
+    def _interruption_reason(self) -> Reason:
         if self._placement.peer is not None:
             return Reason.PEER_LOST
         return Reason.BROKEN_IN_ANSWER if self._progress.began else Reason.BROKEN_BEFORE_ANSWER
@@ -144,19 +144,19 @@
         address = self._placement.server.address
         if peer is not None:
             address = (peer.note.ip, self._tools.peer_port)
-        kept = self._tools.pool.kept(address)
-        if kept is not None:
-            return kept
-        limit_ms = CONNECT_NEAR_MS if peer is None else CONNECT_FAR_MS
+        idle_connection = self._tools.pool.kept(address)
+        if idle_connection is not None:
+            return idle_connection
+        limit_ms = BACKEND_CONNECT_TIMEOUT_MS if peer is None else PEER_CONNECT_TIMEOUT_MS
         timeout_s = min(limit_ms, max(self._request.left_ms(), 1.0)) / 1000
-        began_ms = now_ms()
+        started_at_ms = now_ms()
         try:
             connection = self._tools.pool.open(address, timeout_s)
         except OSError:
             # run() records the server or peer as unreachable.
             return None
         if peer is not None:
-            self._tools.note_round_trip(peer.region, now_ms() - began_ms)
+            self._tools.note_round_trip(peer.region, now_ms() - started_at_ms)
         return connection
 
     def _note_unreachable(self) -> None:
@@ -165,12 +165,12 @@
         else:
             self._tools.health.note_unreachable(self._server_id)
 
-    def _note_broken(self) -> None:
+    def _note_interruption(self) -> None:
         """Record the failure, against a peer only if it sent no response.
 
         A peer also cuts a response short when its own backend server does.
         """
-        if self._placement.peer is not None and not self._answer_began:
+        if self._placement.peer is not None and not self._answer_received:
             self._tools.note_peer(self._placement.peer.note.ip, False)
         else:
             self._tools.health.note_failure(self._server_id, "broken")
@@ -178,17 +178,19 @@
     def _exchange(self, connection: BackendConnection, terms: SendTerms) -> AttemptEnd:
         answered = False
         try:
-            head = self._head(terms)
+            head = self._request_head(terms)
             self._progress.sends += 1
             self._progress.cutter.begin_attempt()
             self._progress.sent_at_ms = now_ms()
             connection.send(head, self._request.body)
-            answer = self._wait(lambda: connection.read_head(self._belongs))
-            meaning = self._meaning(answer)
+            answer = self._read_with_liveness_checks(
+                lambda: connection.read_head(self._is_answer_to_request)
+            )
+            meaning = self._interpret(answer)
             if meaning.kind is AnswerKind.RESULT:
-                end = self._pass_on(connection, answer)
+                end = self._forward_answer(connection, answer)
             else:
-                end = self._take_refusal(connection, answer, meaning)
+                end = self._handle_refusal(connection, answer, meaning)
             answered = True
             return end
         finally:
@@ -196,17 +198,17 @@
                 # Closing the connection makes the server abort any remaining work.
                 connection.close()
 
-    def _head(self, terms: SendTerms) -> bytes:
+    def _request_head(self, terms: SendTerms) -> bytes:
         return self._wire().send_head(self._request, terms)
 
     def _wire(self) -> Wire:
         return self._tools.backend_wire if self._placement.peer is None else self._tools.peer_wire
 
-    def _belongs(self, answer: HttpAnswer) -> bool:
+    def _is_answer_to_request(self, answer: HttpAnswer) -> bool:
         return self._wire().belongs(self._request.request_id, answer)
 
-    def _meaning(self, answer: HttpAnswer) -> AnswerMeaning:
-        self._answer_began = True
+    def _interpret(self, answer: HttpAnswer) -> AnswerMeaning:
+        self._answer_received = True
         self._tools.health.note_heard(self._server_id)
         meaning = self._wire().meaning(answer)
         if self._placement.peer is not None:
@@ -221,52 +223,52 @@
         if meaning.is_leaving:
             self._tools.note_leaving(self._server_id)
 
-    def _wait(self, read: Callable[[], Read]) -> Read:
+    def _read_with_liveness_checks(self, read: Callable[[], ReadResult]) -> ReadResult:
         """Retry the read until it returns, checking at intervals that the server is still alive."""
-        began_ms = now_ms()
+        started_at_ms = now_ms()
         while True:
-            look = gevent.Timeout(LOOK_MS / 1000)
+            check_timeout = gevent.Timeout(LIVENESS_CHECK_INTERVAL_MS / 1000)
             try:
-                with look:
+                with check_timeout:
                     return read()
             except gevent.Timeout as timeout:
-                if timeout is not look:
+                if timeout is not check_timeout:
                     raise
-                self._look(now_ms() - began_ms)
+                self._check_liveness(now_ms() - started_at_ms)
 
-    def _look(self, waited_ms: float) -> None:
+    def _check_liveness(self, waited_ms: float) -> None:
         """Raise if the server has exited, or is unresponsive and the request can be moved."""
         if self._placement.peer is None and self._tools.has_ended(self._server_id):
             raise ConnectionBroken("the backend server restarted and lost this request")
         if self._request.left_ms() <= 0:
             # Timers stop while the machine is suspended, but the clock does not.
-            raise _TimeOver
+            raise _DeadlinePassed
         if not self._request.route.repeatable:
             return
         if not self._tools.may_move(self._request, self._progress):
             return
         if self._request.route.kind is RequestKind.STREAM:
-            silent = self._tools.health.is_dark(self._server_id)
+            is_unresponsive = self._tools.health.is_dark(self._server_id)
         else:
-            usual_ms = self._tools.pace.answer_ms(self._request.service)
-            silent = waited_ms > PLAIN_PATIENCE * usual_ms
-        if silent:
-            raise _ServerSilent
+            typical_ms = self._tools.pace.answer_ms(self._request.service)
+            is_unresponsive = waited_ms > PLAIN_ANSWER_TIMEOUT_FACTOR * typical_ms
+        if is_unresponsive:
+            raise _ServerUnresponsive
 
-    def _take_refusal(
+    def _handle_refusal(
         self, connection: BackendConnection, answer: HttpAnswer, meaning: AnswerMeaning
     ) -> AttemptEnd:
         connection.skip_body(answer)
-        far = self._placement.peer is not None
+        via_peer = self._placement.peer is not None
         match meaning.kind:
             case AnswerKind.MISDIRECTED:
                 self._tools.health.note_misdirected(self._server_id)
                 return AttemptEnd(AttemptResult.NOT_RUN, Reason.MISDIRECTED)
             case AnswerKind.NOT_RUN:
                 # The Retry-After of a peer gateway does not apply to the backend server.
-                server_retry_after_ms = 0.0 if far else meaning.retry_after_ms
+                server_retry_after_ms = 0.0 if via_peer else meaning.retry_after_ms
                 self._tools.health.note_full(self._server_id, server_retry_after_ms)
-                reason = Reason.PEER_NOT_RUN if far else Reason.BACKEND_REFUSED
+                reason = Reason.PEER_NOT_RUN if via_peer else Reason.BACKEND_REFUSED
                 return AttemptEnd(AttemptResult.NOT_RUN, reason, meaning.retry_after_ms)
             case AnswerKind.NOT_SENT:
                 if not meaning.is_region_full:
@@ -281,71 +283,77 @@
                 return AttemptEnd(AttemptResult.NOT_RUN, Reason.QUARANTINED)
             case AnswerKind.TIMED_OUT:
                 return AttemptEnd(AttemptResult.MAY_HAVE_RUN, Reason.DEADLINE_PASSED)
-        self._tools.health.note_failure(self._server_id, "unknown" if far else "unsigned")
+        self._tools.health.note_failure(self._server_id, "unknown" if via_peer else "unsigned")
         return AttemptEnd(
-            AttemptResult.MAY_HAVE_RUN, self._broken_reason(), ended_server=meaning.ended_server
+            AttemptResult.MAY_HAVE_RUN,
+            self._interruption_reason(),
+            ended_server=meaning.ended_server,
         )
 
-    def _pass_on(self, connection: BackendConnection, answer: HttpAnswer) -> AttemptEnd:
+    def _forward_answer(self, connection: BackendConnection, answer: HttpAnswer) -> AttemptEnd:
         is_stream = self._request.route.kind is RequestKind.STREAM
-        if is_stream and answer.status < SERVER_ERRORS_FROM:
-            return self._pass_stream(connection, answer)
-        return self._pass_plain(connection, answer)
+        if is_stream and answer.status < MIN_SERVER_ERROR_STATUS:
+            return self._forward_stream(connection, answer)
+        return self._forward_buffered(connection, answer)
 
-    def _pass_plain(self, connection: BackendConnection, answer: HttpAnswer) -> AttemptEnd:
+    def _forward_buffered(self, connection: BackendConnection, answer: HttpAnswer) -> AttemptEnd:
         """Buffer the complete response so that a truncated one never reaches the caller."""
         body = bytearray()
-        while (piece := self._wait(lambda: connection.read_piece(answer))) is not None:
+        while (
+            piece := self._read_with_liveness_checks(lambda: connection.read_piece(answer))
+        ) is not None:
             body += piece
-            if len(body) > MOST_WHOLE_BYTES:
-                return self._pass_long(connection, answer, bytes(body))
-        took_ms = now_ms() - self._progress.sent_at_ms
-        if answer.status >= SERVER_ERRORS_FROM:
+            if len(body) > MAX_BUFFERED_BYTES:
+                return self._forward_unbuffered(connection, answer, bytes(body))
+        elapsed_ms = now_ms() - self._progress.sent_at_ms
+        if answer.status >= MIN_SERVER_ERROR_STATUS:
             self._tools.health.note_failure(self._server_id, "failed")
             self._progress.failed_answer = (answer, bytes(body))
             return AttemptEnd(AttemptResult.FAILED_ANSWER, Reason.BACKEND_FAILED)
-        self._note_plain_success(took_ms)
+        self._note_plain_success(elapsed_ms)
         self._progress.first_at_ms = now_ms()
         self._caller.answer(answer.status, end_to_end(answer.headers), bytes(body))
         return AttemptEnd(AttemptResult.DELIVERED, Reason.NONE)
 
-    def _pass_long(
+    def _forward_unbuffered(
         self, connection: BackendConnection, answer: HttpAnswer, first: bytes
     ) -> AttemptEnd:
         """Forward a large response as it arrives, finishing it only if it is complete."""
-        self._begin(answer)
+        self._begin_answer(answer)
         self._caller.send(first)
         while (piece := connection.read_piece(answer)) is not None:
             self._caller.send(piece)
         self._caller.finish()
         return AttemptEnd(AttemptResult.DELIVERED, Reason.NONE)
 
-    def _note_plain_success(self, took_ms: float) -> None:
+    def _note_plain_success(self, elapsed_ms: float) -> None:
         self._tools.health.note_success(self._server_id)
-        stood_still = self._tools.watch.thawed_at_ms() > self._progress.sent_at_ms
-        if self._placement.peer is not None or stood_still:
+        was_suspended = self._tools.watch.thawed_at_ms() > self._progress.sent_at_ms
+        if self._placement.peer is not None or was_suspended:
             return
-        usual_ms = self._tools.pace.answer_ms(self._request.service)
-        self._tools.health.note_pace(self._server_id, took_ms, usual_ms)
-        self._tools.pace.note_answer(self._request.service, took_ms)
+        typical_ms = self._tools.pace.answer_ms(self._request.service)
+        self._tools.health.note_pace(self._server_id, elapsed_ms, typical_ms)
+        self._tools.pace.note_answer(self._request.service, elapsed_ms)
 
-    def _begin(self, answer: HttpAnswer) -> None:
+    def _begin_answer(self, answer: HttpAnswer) -> None:
         if self._progress.began:
             return
         self._progress.began = True
         self._caller.begin(answer.status, end_to_end(answer.headers), None)
 
-    def _pass_stream(self, connection: BackendConnection, answer: HttpAnswer) -> AttemptEnd:
-        while (piece := self._wait(lambda: connection.read_piece(answer))) is not None:
+    def _forward_stream(self, connection: BackendConnection, answer: HttpAnswer) -> AttemptEnd:
+        while (
+            piece := self._read_with_liveness_checks(lambda: connection.read_piece(answer))
+        ) is not None:
             self._tools.health.note_event(self._server_id)
-            whole = self._progress.cutter.feed(piece)
-            if self._progress.cutter.pending_bytes() > MOST_EVENT_BYTES:
-                raise ConnectionBroken(f"server-sent event exceeds {MOST_EVENT_BYTES} bytes")
-            if whole:
+            complete_events = self._progress.cutter.feed(piece)
+            if self._progress.cutter.pending_bytes() > MAX_EVENT_BYTES:
+                raise ConnectionBroken(f"server-sent event exceeds {MAX_EVENT_BYTES} bytes")
+            if complete_events:
                 self._note_event()
-                self._begin(answer)
-                self._caller.send(whole)
-        self._begin(answer)
+                self._begin_answer(answer)
+                self._caller.send(complete_events)
+        self._begin_answer(answer)
         self._caller.send(self._progress.cutter.rest())
         self._caller.finish()
         self._tools.health.note_success(self._server_id)
--- a/sparline/forwarding/_events.py
+++ b/sparline/forwarding/_events.py
@@ -2,8 +2,8 @@
 
 import re
 
-EVENT_END = re.compile(rb"\r?\n\r?\n")
-ID_LINE = re.compile(rb"(?:^|\n)id:[ ]?(\d+)")
+EVENT_TERMINATOR = re.compile(rb"\r?\n\r?\n")
+EVENT_ID_LINE = re.compile(rb"(?:^|\n)id:[ ]?(\d+)")
 
 
 class EventCutter:
@@ -23,14 +23,14 @@
         """Append data and return the bytes of the events that are now complete."""
         self._pending += data
         end = 0
-        for match in EVENT_END.finditer(self._pending):
+        for match in EVENT_TERMINATOR.finditer(self._pending):
             end = match.end()
             self.events += 1
-        whole, self._pending = self._pending[:end], self._pending[end:]
-        ids = ID_LINE.findall(whole)
+        complete, self._pending = self._pending[:end], self._pending[end:]
+        ids = EVENT_ID_LINE.findall(complete)
         if ids:
             self.last_id = int(ids[-1])
-        return whole
+        return complete
 
     def pending_bytes(self) -> int:
         """Return the number of buffered bytes of the incomplete event."""
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -17,7 +17,7 @@
     SentEnd,
 )
 from sparline.forwarding._events import EventCutter
-from sparline.forwarding._resume_wait import is_awaited, resumes_later
+from sparline.forwarding._resume_wait import is_caller_waiting, should_delay_resume
 from sparline.forwarding._retry_window import RetryWindow
 from sparline.forwarding._wire import OwnAnswer, SendTerms
 from sparline.http import CallerConnection, CallerGone, Headers, end_to_end
@@ -26,25 +26,25 @@
 from sparline.requests import Origin, Reason, RoutedRequest
 
 # A request is given up after this many attempts that are proven not to have run (count).
-MOST_NOT_RUN = 3
+MAX_NOT_RUN_ATTEMPTS = 3
 # With less time than this left, another attempt can't complete (ms).
-LEAST_LEFT_MS = 10.0
-RETRY_AFTER_DEFAULT_MS = 300.0
+MIN_TIME_LEFT_MS = 10.0
+DEFAULT_RETRY_AFTER_MS = 300.0
 # An interrupted stream polls for a less busy engine at the first interval, and retries at the
 # second one if no server accepted or could accept it (ms). Both are randomized by a factor from
-# RESUME_SPREAD. It retries until its caller is expected to disconnect, so that a short lack of
-# capacity does not abort the stream.
-RESUME_STEP_MS = 40.0
-NOT_RUN_REST_MS = 150.0
-RESUME_SPREAD = (0.5, 1.5)
+# RESUME_JITTER_RANGE. The stream retries until its caller is expected to give up, so that a short
+# lack of capacity does not abort it.
+RESUME_POLL_INTERVAL_MS = 40.0
+RESUME_RETRY_DELAY_MS = 150.0
+RESUME_JITTER_RANGE = (0.5, 1.5)
 # Maximum number of servers that one try of a suspected request may reach (count). A request is
 # suspected once several servers have exited while running it.
-SUSPECT_SENDS = 1
+MAX_SUSPECT_SENDS = 1
 # Refusal reasons that apply to every server in the region.
-NO_ROOM = (Reason.DEADLINE_UNREACHABLE, Reason.NO_BACKEND)
-WITHDRAWN_TEXT = b"Authorization: expected a key in force, found one that was just withdrawn\n"
-TEXT_TYPE = (b"Content-Type", b"text/plain; charset=utf-8")
-QUARANTINED_TEXT = (
+REGION_FULL_REASONS = (Reason.DEADLINE_UNREACHABLE, Reason.NO_BACKEND)
+REVOKED_KEY_BODY = b"Authorization: expected a key in force, found one that was just withdrawn\n"
+TEXT_CONTENT_TYPE = (b"Content-Type", b"text/plain; charset=utf-8")
+QUARANTINED_BODY = (
     b"expected a backend server to answer this request, found that each one that ran it ended; "
     b"it is not sent again for some minutes\n"
 )
@@ -94,14 +94,14 @@
         handler = gevent.getcurrent()
         caller.watch(lambda: handler.kill(CallerGone, block=False))
         limit = gevent.Timeout(max(request.left_ms(), 1.0) / 1000)
-        run = _Run(self._parts, request, caller, sends_left, progress)
+        run = _RequestRun(self._parts, request, caller, sends_left, progress)
         try:
             with limit:
-                return run.to_end()
+                return run.run_to_end()
         except gevent.Timeout as timeout:
             if timeout is not limit:
                 raise
-            return run.end_late()
+            return run.end_timed_out()
         except CallerGone:
             caller.closing = True
             return RequestEnd(0, Reason.CALLER_GONE, True, run.placement, run.refusal, progress)
@@ -109,7 +109,7 @@
             caller.unwatch()
 
 
-class _Run:
+class _RequestRun:
     """Hold the state of one request while it is forwarded."""
 
     def __init__(
@@ -124,63 +124,63 @@
         self._request = request
         self._caller = caller
         self._sends_left = sends_left
-        self._not_run = 0
+        self._not_run_count = 0
         self._progress = progress
         self._digest: RequestDigest | None = None
         self._ended_server: BackendServerId | None = None
-        self._full_end: AttemptEnd | None = None  # last refusal by a region without capacity
+        self._region_full_end: AttemptEnd | None = None  # last refusal by a region without capacity
         self.placement: Placement | None = None
         self.refusal: Refusal | None = None
 
-    def to_end(self) -> RequestEnd:
+    def run_to_end(self) -> RequestEnd:
         while True:
             if self._parts.is_barred(self._request):
-                return self._end_barred()
-            verdict = self._verdict()
+                return self._end_key_revoked()
+            verdict = self._quarantine_verdict()
             if verdict is Verdict.QUARANTINED:
                 return self._end_quarantined()
             is_suspect = verdict is Verdict.SUSPECT
             if is_suspect:
-                self._sends_left = min(self._sends_left, SUSPECT_SENDS)
+                self._sends_left = min(self._sends_left, MAX_SUSPECT_SENDS)
             place = self._parts.chooser.choose(
                 self._request, self._excluded(), self._progress.began, is_suspect
             )
             if isinstance(place, Refusal):
                 self.refusal = place
-                if not is_awaited(self._request, self._progress):
+                if not is_caller_waiting(self._request, self._progress):
                     return self._end_unplaced(place)
-                self._rest(NOT_RUN_REST_MS)
+                self._sleep_with_jitter(RESUME_RETRY_DELAY_MS)
                 continue
-            if resumes_later(self._request, self._progress, place):
-                self._rest(RESUME_STEP_MS)
+            if should_delay_resume(self._request, self._progress, place):
+                self._sleep_with_jitter(RESUME_POLL_INTERVAL_MS)
                 continue
             self.placement = place
             end = self._attempt(place)
             if end.result is AttemptResult.DELIVERED:
-                self._parts.crashes.note_whole(self._own_digest())
-                return self._ended(200, Reason.NONE)
+                self._parts.crashes.note_whole(self._request_digest())
+                return self._make_end(200, Reason.NONE)
             if end.reason is Reason.QUARANTINED:
                 return self._end_quarantined()
-            stop = self._why_stop(place, end)
+            stop = self._stop_reason(place, end)
             if stop is not None:
                 return self._end_failed(stop, end)
             self._parts.note_retry(self._request, place, end)
             if end.result is AttemptResult.NOT_RUN and self._progress.began:
-                self._rest(NOT_RUN_REST_MS)
+                self._sleep_with_jitter(RESUME_RETRY_DELAY_MS)
 
-    def _own_digest(self) -> RequestDigest:
+    def _request_digest(self) -> RequestDigest:
         if self._digest is None:
             self._digest = self._request.digest()
         return self._digest
 
-    def _verdict(self) -> Verdict:
+    def _quarantine_verdict(self) -> Verdict:
         """Return the quarantine verdict; compute the digest only if any crash is recorded."""
         crashes = self._parts.crashes
-        return Verdict.CLEAR if crashes.is_empty else crashes.verdict(self._own_digest())
+        return Verdict.CLEAR if crashes.is_empty else crashes.verdict(self._request_digest())
 
-    def _rest(self, usual_ms: float) -> None:
+    def _sleep_with_jitter(self, usual_ms: float) -> None:
         """Sleep for a randomized delay before an interrupted stream is retried."""
-        gevent.sleep(usual_ms * self._parts.chance.uniform(*RESUME_SPREAD) / 1000)
+        gevent.sleep(usual_ms * self._parts.chance.uniform(*RESUME_JITTER_RANGE) / 1000)
 
     def _excluded(self) -> frozenset[BackendServerId]:
         return frozenset(BackendServerId(one) for one in self._progress.excluded)
@@ -199,7 +199,7 @@
             resume_after=self._progress.cutter.last_id,
             sends_left=self._sends_left,
             source=place.source.address if place.source else None,
-            is_watched=self._is_doubted(),
+            is_watched=self._has_unexplained_interruption(),
         )
         attempt = Attempt(
             self._parts.tools, request, place, reservation, self._caller, self._progress
@@ -211,17 +211,17 @@
         self._note_end(place, end)
         return end
 
-    def _is_doubted(self) -> bool:
+    def _has_unexplained_interruption(self) -> bool:
         """Tell whether the request had a recent unexplained interruption.
 
         The digest is computed only if any such interruption is recorded.
         """
         ends = self._parts.tools.ends
-        return ends.has_doubts and ends.is_doubted(self._own_digest())
+        return ends.has_doubts and ends.is_doubted(self._request_digest())
 
     def _note_end(self, place: Placement, end: AttemptEnd) -> None:
         if end.result is AttemptResult.NOT_RUN:
-            self._not_run += 1
+            self._not_run_count += 1
             if end.is_region_full:
                 self._note_region_full(place, end)
             if end.reason is not Reason.CONNECT_FAILED:
@@ -245,30 +245,30 @@
         ids = self._parts.chooser.note_region_full(self._request, place)
         if not self._progress.began:
             self._progress.excluded.update(ids)
-            self._full_end = end
+            self._region_full_end = end
 
     def _note_crash(self, place: Placement, end: AttemptEnd) -> None:
         """Record a server exit during the request and stop retrying a suspected request."""
         if end.in_doubt:
-            self._parts.tools.ends.wait_for_word(self._own_digest(), place.server.id)
+            self._parts.tools.ends.wait_for_word(self._request_digest(), place.server.id)
         if end.ended_server is None:
             return
         self._ended_server = end.ended_server
         learnt = Learnt.HERE if place.peer is None else Learnt.PEER
-        self._parts.crashes.note_end(self._own_digest(), end.ended_server, learnt)
-        if self._verdict() is not Verdict.CLEAR:
+        self._parts.crashes.note_end(self._request_digest(), end.ended_server, learnt)
+        if self._quarantine_verdict() is not Verdict.CLEAR:
             self._sends_left = 0
 
-    def _why_stop(self, place: Placement, end: AttemptEnd) -> Reason | None:
+    def _stop_reason(self, place: Placement, end: AttemptEnd) -> Reason | None:
         """Return the reason to stop retrying, or None to retry."""
         reached_a_server = end.reason not in (Reason.CONNECT_FAILED, Reason.PEER_NO_ROOM)
         if end.result is AttemptResult.NOT_RUN:
-            waits = not reached_a_server and is_awaited(self._request, self._progress)
-            if self._not_run >= MOST_NOT_RUN and not waits:
+            waits = not reached_a_server and is_caller_waiting(self._request, self._progress)
+            if self._not_run_count >= MAX_NOT_RUN_ATTEMPTS and not waits:
                 return end.reason
         elif not self.may_repeat():
             return end.reason
-        if self._request.left_ms() < LEAST_LEFT_MS:
+        if self._request.left_ms() < MIN_TIME_LEFT_MS:
             return Reason.DEADLINE_PASSED
         if reached_a_server and not self._parts.retries.spend(self._request.service):
             return Reason.RETRY_BUDGET
@@ -280,82 +280,86 @@
 
     def _end_unplaced(self, refusal: Refusal) -> RequestEnd:
         if self._progress.failed_answer is not None and not self._progress.began:
-            return self._pass_failure_on()
-        if self._full_end is not None and refusal.reason is Reason.NO_BACKEND:
+            return self._forward_server_error()
+        if self._region_full_end is not None and refusal.reason is Reason.NO_BACKEND:
             # Servers exist but have no capacity, so the full region's Retry-After applies.
-            return self._end_own(self._full_end.reason, self._full_end.retry_after_ms)
-        return self._end_own(refusal.reason, refusal.retry_after_ms)
+            return self._end_with_own_answer(
+                self._region_full_end.reason, self._region_full_end.retry_after_ms
+            )
+        return self._end_with_own_answer(refusal.reason, refusal.retry_after_ms)
 
     def _end_failed(self, stop: Reason, end: AttemptEnd) -> RequestEnd:
         if self._progress.failed_answer is not None and not self._progress.began:
-            return self._pass_failure_on()
-        return self._end_own(stop, end.retry_after_ms or RETRY_AFTER_DEFAULT_MS)
+            return self._forward_server_error()
+        return self._end_with_own_answer(stop, end.retry_after_ms or DEFAULT_RETRY_AFTER_MS)
 
-    def _pass_failure_on(self) -> RequestEnd:
+    def _forward_server_error(self) -> RequestEnd:
         """Forward the backend server's own error response to the caller."""
         assert self._progress.failed_answer is not None
         answer, body = self._progress.failed_answer
         self._caller.answer(answer.status, end_to_end(answer.headers), body)
-        return self._ended(answer.status, Reason.BACKEND_FAILED)
+        return self._make_end(answer.status, Reason.BACKEND_FAILED)
 
     def _end_quarantined(self) -> RequestEnd:
         """Reject a quarantined request that servers have run and must not run again."""
         if self._progress.began:
-            return self._cut(Reason.QUARANTINED)
+            return self._abort_answer(Reason.QUARANTINED)
         headers = self._parts.refusal_headers(OwnAnswer(ran=True, quarantined=True))
-        self._caller.answer(502, [*headers, TEXT_TYPE], QUARANTINED_TEXT)
-        return self._ended(502, Reason.QUARANTINED)
+        self._caller.answer(502, [*headers, TEXT_CONTENT_TYPE], QUARANTINED_BODY)
+        return self._make_end(502, Reason.QUARANTINED)
 
-    def _end_barred(self) -> RequestEnd:
+    def _end_key_revoked(self) -> RequestEnd:
         """End a request whose API key was revoked without sending it again."""
         if self._progress.began:
-            return self._cut(Reason.KEY_WITHDRAWN)
+            return self._abort_answer(Reason.KEY_WITHDRAWN)
         if self._progress.may_have_run or self._request.origin is Origin.RELAY:
-            return self._end_own(Reason.KEY_WITHDRAWN, RETRY_AFTER_DEFAULT_MS)
-        self._caller.answer(401, [(b"WWW-Authenticate", b"Bearer"), TEXT_TYPE], WITHDRAWN_TEXT)
-        return self._ended(401, Reason.KEY_WITHDRAWN, ran=False)
+            return self._end_with_own_answer(Reason.KEY_WITHDRAWN, DEFAULT_RETRY_AFTER_MS)
+        self._caller.answer(
+            401, [(b"WWW-Authenticate", b"Bearer"), TEXT_CONTENT_TYPE], REVOKED_KEY_BODY
+        )
+        return self._make_end(401, Reason.KEY_WITHDRAWN, ran=False)
 
-    def _end_own(self, reason: Reason, retry_after_ms: float) -> RequestEnd:
+    def _end_with_own_answer(self, reason: Reason, retry_after_ms: float) -> RequestEnd:
         """End with a response generated here; never report as not run what may have run."""
         if self._progress.began:
-            return self._cut(reason)
+            return self._abort_answer(reason)
         ran = self._progress.may_have_run
         status = 503
         if ran:
             status = 504 if reason is Reason.DEADLINE_PASSED else 502
-        return self._answer_own(status, reason, ran, retry_after_ms)
+        return self._send_own_answer(status, reason, ran, retry_after_ms)
 
-    def end_late(self) -> RequestEnd:
+    def end_timed_out(self) -> RequestEnd:
         """End a request whose time limit has expired."""
         in_time = now_ms() - self._request.arrived_at_ms
-        route_timeout = in_time >= self._request.route.timeout_ms - LEAST_LEFT_MS
+        route_timeout = in_time >= self._request.route.timeout_ms - MIN_TIME_LEFT_MS
         reason = Reason.ROUTE_TIMEOUT if route_timeout else Reason.DEADLINE_PASSED
         if self._progress.began or self._caller.started:
-            return self._cut(reason)
+            return self._abort_answer(reason)
         ran = self._progress.sends > 0
-        return self._answer_own(504 if ran else 503, reason, ran, RETRY_AFTER_DEFAULT_MS)
+        return self._send_own_answer(504 if ran else 503, reason, ran, DEFAULT_RETRY_AFTER_MS)
 
-    def _answer_own(
+    def _send_own_answer(
         self, status: int, reason: Reason, ran: bool, retry_after_ms: float
     ) -> RequestEnd:
         sent = self._progress.sends > 0
-        said = OwnAnswer(
+        own_answer = OwnAnswer(
             ran,
             retry_after_ms,
             sent,
             self._ended_server,
-            is_region_full=not sent and reason in NO_ROOM,
+            is_region_full=not sent and reason in REGION_FULL_REASONS,
         )
-        headers = self._parts.refusal_headers(said)
+        headers = self._parts.refusal_headers(own_answer)
         self._caller.answer(status, headers, b"")
-        return self._ended(status, reason, ran)
+        return self._make_end(status, reason, ran)
 
-    def _cut(self, reason: Reason) -> RequestEnd:
+    def _abort_answer(self, reason: Reason) -> RequestEnd:
         """Close the connection without the final chunk so that the truncation is visible."""
         self._caller.closing = True
-        return self._ended(0, reason)
+        return self._make_end(0, reason)
 
-    def _ended(self, status: int, reason: Reason, ran: bool = True) -> RequestEnd:
+    def _make_end(self, status: int, reason: Reason, ran: bool = True) -> RequestEnd:
         return RequestEnd(status, reason, ran, self.placement, self.refusal, self._progress)
 
 
--- a/sparline/forwarding/_retry_window.py
+++ b/sparline/forwarding/_retry_window.py
@@ -8,11 +8,11 @@
 from sparline.routes import ServiceName
 
 # Fraction of the budget that is used; the rest absorbs instances that join late.
-BUDGET_USED = 0.7
+BUDGET_FRACTION = 0.7
 # Limit on an instance's share of the slack while it may not know all other instances (count); after
-# BUDGET_USED it allows one retry. Without it, instances that start together would each take
+# BUDGET_FRACTION it allows one retry. Without it, instances that start together would each take
 # the whole slack.
-UNSETTLED_SLACK = 1.5
+MAX_UNSETTLED_SLACK = 1.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,32 +39,34 @@
         to be all of them.
         """
         self._rule = rule
-        self._sharing = sharing
+        self._instance_count = sharing
         self._is_settled = is_settled
-        self._requests: dict[ServiceName, deque[float]] = {}
-        self._repeats: dict[ServiceName, deque[float]] = {}
+        self._request_times: dict[ServiceName, deque[float]] = {}
+        self._retry_times: dict[ServiceName, deque[float]] = {}
 
     def note_request(self, service: ServiceName) -> None:
         """Count a request from a caller."""
-        self._recent(self._requests, service).append(now_ms())
+        self._times_in_window(self._request_times, service).append(now_ms())
 
     def spend(self, service: ServiceName) -> bool:
         """Use up one retry; return False if the budget is exhausted."""
-        repeats = self._recent(self._repeats, service)
-        earned = self._rule.ratio * len(self._recent(self._requests, service))
-        if len(repeats) + 1 > BUDGET_USED * (earned + self._slack()):
+        retry_times = self._times_in_window(self._retry_times, service)
+        earned = self._rule.ratio * len(self._times_in_window(self._request_times, service))
+        if len(retry_times) + 1 > BUDGET_FRACTION * (earned + self._slack()):
             return False
-        repeats.append(now_ms())
+        retry_times.append(now_ms())
         return True
 
     def _slack(self) -> float:
         """Return this instance's share of the slack."""
-        share = self._rule.slack / max(self._sharing(), 1)
-        return share if self._is_settled() else min(share, UNSETTLED_SLACK)
+        share = self._rule.slack / max(self._instance_count(), 1)
+        return share if self._is_settled() else min(share, MAX_UNSETTLED_SLACK)
 
-    def _recent(self, table: dict[ServiceName, deque[float]], service: ServiceName) -> deque[float]:
-        times = table.setdefault(service, deque())
+    def _times_in_window(
+        self, table: dict[ServiceName, deque[float]], service: ServiceName
+    ) -> deque[float]:
+        recent_times = table.setdefault(service, deque())
         since = now_ms() - self._rule.window_ms
-        while times and times[0] < since:
-            times.popleft()
-        return times
+        while recent_times and recent_times[0] < since:
+            recent_times.popleft()
+        return recent_times
--- a/sparline/forwarding/tests/test_resume_wait.py
+++ b/sparline/forwarding/tests/test_resume_wait.py
@@ -5,7 +5,7 @@
 from sparline.fleet import LoadOf
 from sparline.forwarding._attempt_types import Progress
 from sparline.forwarding._events import EventCutter
-from sparline.forwarding._resume_wait import given_up_ms, resumes_later
+from sparline.forwarding._resume_wait import caller_patience_ms, should_delay_resume
 from sparline.placement import Doubt, Placement
 from sparline.tests.routed import make_request, make_route, make_server
 
@@ -40,17 +40,17 @@
 def test_interrupted_stream_waits_for_short_queue(row):
     _, began, ago_ms, queue_ms, waits = row
     progress = Progress(EventCutter(None), began=began, heard_at_ms=now_ms() - ago_ms)
-    assert resumes_later(make_request(), progress, place(queue_ms)) is waits
+    assert should_delay_resume(make_request(), progress, place(queue_ms)) is waits
 
 
 def test_stream_resumed_by_caller_waits_from_arrival():
     progress = Progress(EventCutter(3))
-    assert resumes_later(make_request(resume_after=3), progress, place(500.0))
+    assert should_delay_resume(make_request(resume_after=3), progress, place(500.0))
     old = make_request(resume_after=3, arrived_at_ms=now_ms() - 1_700.0)
-    assert not resumes_later(old, progress, place(500.0))
+    assert not should_delay_resume(old, progress, place(500.0))
 
 
-GIVEN_UP = [
+PATIENCE = [
     (800.0, 400.0, 3_200.0),
     (100.0, 400.0, 3_200.0),
     (100.0, 0.0, 2_000.0),
@@ -58,8 +58,9 @@
 ]
 
 
-@pytest.mark.parametrize(("wanted_ms", "pause_ms", "given_up"), GIVEN_UP)
-def test_pause_after_which_callers_give_up(wanted_ms, pause_ms, given_up):
+@pytest.mark.parametrize(("wanted_ms", "pause_ms", "expected_ms"), PATIENCE)
+def test_pause_after_which_callers_give_up(wanted_ms, pause_ms, expected_ms):
     assert (
-        given_up_ms(make_route(wanted_latency_ms=wanted_ms, pause_target_ms=pause_ms)) == given_up
+        caller_patience_ms(make_route(wanted_latency_ms=wanted_ms, pause_target_ms=pause_ms))
+        == expected_ms
     )
--- a/sparline/forwarding/tests/test_retry_window.py
+++ b/sparline/forwarding/tests/test_retry_window.py
@@ -39,7 +39,7 @@
 
 
 # Requests pending at each instance when it starts (count): the arrivals of 1.5 s.
-WAITING = 12
+PENDING_REQUESTS = 12
 
 
 def test_instances_starting_together_stay_within_fleet_budget(monkeypatch):
@@ -56,16 +56,16 @@
         for number in range(1, 27):
             after_ms = fleet.chance.uniform(0, 1_000)
             fleet.start(f"10.{region}.0.{number}", str(region), after_ms)
-    requests = repeats = 0
-    waiting: dict[str, int] = {}
+    requests = retries_made = 0
+    pending: dict[str, int] = {}
     for _ in range(round(3_000 / STEP_MS)):
         fleet.step()
         for ip, one in fleet.instances.items():
-            if waiting.setdefault(ip, WAITING) and fleet.chance.random() < 0.2:
-                waiting[ip] -= 1
+            if pending.setdefault(ip, PENDING_REQUESTS) and fleet.chance.random() < 0.2:
+                pending[ip] -= 1
                 requests += 1
                 one.retries.note_request(ONE)
-                repeats += one.retries.spend(ONE)
-    assert repeats <= RETRY_RULE.ratio * requests + RETRY_RULE.slack
+                retries_made += one.retries.spend(ONE)
+    assert retries_made <= RETRY_RULE.ratio * requests + RETRY_RULE.slack
     # On average each instance is allowed at least one retry while the fleet is starting.
-    assert repeats >= len(fleet.instances)
+    assert retries_made >= len(fleet.instances)
--- a/sparline/gateway/tests/test_requests.py
+++ b/sparline/gateway/tests/test_requests.py
@@ -148,7 +148,7 @@
 
 
 def test_a_broken_stream_waits_for_a_server_that_can_go_on(monkeypatch):
-    monkeypatch.setattr(_resume_wait, "GIVEN_UP_LEAST_MS", PATIENCE_MS)
+    monkeypatch.setattr(_resume_wait, "MIN_CALLER_PATIENCE_MS", PATIENCE_MS)
     with RoutedFleet() as fleet:
         fleet.add_server("p1")
         fleet.add_server("e1", "engines", events=EVENTS)
