--- a/sparline/limits/__init__.py
+++ b/sparline/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits of organisations, shared between instances without shared state."""
+"""Rate limits of organisations, divided between instances without shared state."""
 
 from sparline.limits._bucket import Bucket
 from sparline.limits._enforcer import LimitEnforcer
--- a/sparline/limits/_bucket.py
+++ b/sparline/limits/_bucket.py
@@ -1,27 +1,27 @@
-"""A token bucket whose rate may change at any time."""
+"""Token bucket with an adjustable rate."""
 
 from sparline._clock import now_ms
 
 
 class Bucket:
-    """Let requests through at a rate, with a burst."""
+    """Admit requests at a rate, with bursts."""
 
     def __init__(self, rate_per_s: float, burst: float) -> None:
-        """Start with the whole burst."""
+        """Start with a full bucket."""
         self.rate_per_s = rate_per_s
         self.burst = max(burst, 1.0)
         self._level = self.burst
         self._filled_at_ms = now_ms()
 
     def change(self, rate_per_s: float, burst: float) -> None:
-        """Go on with another rate; what is over the new burst is lost."""
+        """Change the rate and burst, discarding tokens above the new burst."""
         self._fill()
         self.rate_per_s = rate_per_s
         self.burst = max(burst, 1.0)
         self._level = min(self._level, self.burst)
 
     def take(self) -> bool:
-        """Let one request through, or not."""
+        """Take one token; return False if none is available."""
         self._fill()
         if self._level < 1:
             return False
@@ -29,7 +29,7 @@
         return True
 
     def wait_ms(self) -> float:
-        """Return how long until the next request may come."""
+        """Return the time until the next token is available."""
         self._fill()
         missing = max(1 - self._level, 0)
         return missing / max(self.rate_per_s, 1e-6) * 1000
--- a/sparline/limits/_enforcer.py
+++ b/sparline/limits/_enforcer.py
@@ -1,4 +1,4 @@
-"""Limits of organisations, enforced here by a share that follows demand."""
+"""Enforcement of organisations' rate limits by a share that follows local demand."""
 
 from dataclasses import dataclass
 
@@ -8,32 +8,32 @@
 from sparline.schema._declarations import Organisation
 from sparline.schema._messages import Demand
 
-# An organisation without requests for so long gives its share back.
+# An organisation's share is released after this long without requests (ms).
 IDLE_MS = 10_000.0
 DEMAND_WEIGHT = 0.5
 
 
 @dataclass(slots=True)
 class _Use:
-    """Hold one organisation's use of this instance."""
+    """Hold the state of one organisation on this instance."""
 
-    bucket: Bucket  # the share
+    bucket: Bucket  # enforces the share
     arrived: int = 0  # requests since the last report
-    demand_per_s: float = 0.0  # smoothed rate of requests, refused ones too
-    reported_at_ms: float = 0.0  # when demand was last counted
-    last_request_ms: float = 0.0  # when the last request came
+    demand_per_s: float = 0.0  # smoothed request rate, including rejected requests
+    reported_at_ms: float = 0.0  # when demand was last measured
+    last_request_ms: float = 0.0  # when the last request arrived
 
 
 class LimitEnforcer:
-    """Let requests through within this instance's share of each limit."""
+    """Admit requests within this instance's share of each limit."""
 
     def __init__(self) -> None:
-        """Start with no organisation; the first share is an even part of the limit."""
-        self.instances_in_fleet = 1  # how many instances may take an organisation's requests
+        """Start without organisations; the initial share is the limit divided by all instances."""
+        self.instances_in_fleet = 1  # instances that may receive an organisation's requests
         self._uses: dict[OrganisationId, _Use] = {}
 
     def admit(self, organisation: Organisation) -> float | None:
-        """Return None if a request may run, else the time until the next may, in milliseconds."""
+        """Return None if a request may run, else the milliseconds until the next one may."""
         use = self._use(organisation)
         use.arrived += 1
         use.last_request_ms = now_ms()
@@ -52,7 +52,7 @@
         return organisation.burst_requests * share_per_s / organisation.requests_per_s
 
     def demands(self) -> list[Demand]:
-        """Return demand and shares to report; idle organisations are forgotten."""
+        """Return the demand and shares to report, dropping idle organisations."""
         now = now_ms()
         found = []
         for organisation, use in list(self._uses.items()):
@@ -69,17 +69,17 @@
         return found
 
     def note_share(self, organisation: Organisation, share_per_s: float) -> None:
-        """Take the share that the owner gave; cut off, the last one stays."""
+        """Apply a share granted by the owner; without contact the last share stays in force."""
         use = self._uses.get(OrganisationId(organisation.id))
         if use is not None:
             share = min(share_per_s, organisation.requests_per_s)
             use.bucket.change(share, self._burst(organisation, share))
 
     def share_per_s(self, organisation: OrganisationId) -> float | None:
-        """Return the share that is enforced now, None for an idle organisation."""
+        """Return the enforced share, or None for an idle organisation."""
         use = self._uses.get(organisation)
         return use.bucket.rate_per_s if use else None
 
     def __len__(self) -> int:
-        """Return how many organisations have a share here."""
+        """Return the number of organisations with a share on this instance."""
         return len(self._uses)
--- a/sparline/limits/_exchange.py
+++ b/sparline/limits/_exchange.py
@@ -1,4 +1,4 @@
-"""Reports of demand to the owners of limits, and their answers."""
+"""Exchange of demand reports and shares with the owners of limits."""
 
 from collections import defaultdict
 from dataclasses import dataclass
@@ -15,18 +15,18 @@
 
 @dataclass(frozen=True, slots=True)
 class _SeenRegion:
-    """Hold the live instances of a region, and since when they are these."""
+    """Record the live instances of a region and when this set last changed."""
 
-    live: frozenset[InstanceId]  # live instances
-    since_ms: float  # when they last changed
+    live: frozenset[InstanceId]
+    since_ms: float  # when the set last changed
 
 
 class LimitExchange:
-    """Report this instance's demand, and answer the reports of others.
+    """Report this instance's demand and answer reports from other instances.
 
-    The owner of a limit is the instance that rendezvous hashing names among the live
-    instances of the organisation's home region. A report names only organisations
-    that are active here, so the cost follows the traffic of a node, not the fleet.
+    The owner of a limit is chosen by rendezvous hashing among the live instances of the
+    organisation's home region. A report contains only organisations that are active on
+    this instance, so its size depends on local traffic, not on the size of the fleet.
     """
 
     def __init__(
@@ -37,8 +37,8 @@
         metrics: Metrics,
         settle_ms: float,
     ) -> None:
-        """Start as the owner of nothing."""
-        self.catalog = Catalog()  # replaced when the files change
+        """Start without owned limits."""
+        self.catalog = Catalog()  # replaced when the declaration files change
         self._enforcer = enforcer
         self._membership = membership
         self._mesh = mesh
@@ -48,7 +48,7 @@
         self._seen: dict[str, _SeenRegion] = {}
 
     def report(self) -> None:
-        """Send demand to the owner of each active organisation's limit."""
+        """Report demand to the owner of each active organisation's limit."""
         for region in self.catalog.regions():
             self._view(region)
         self._enforcer.instances_in_fleet = max(len(self.catalog.instances), 1)
@@ -79,7 +79,7 @@
         return first(f"limit/{organisation}", self._membership.live_in_region(declared.home_region))
 
     def take_report(self, link: PeerLink, report: LimitReport) -> None:
-        """Answer another instance's report."""
+        """Answer a report from another instance."""
         reporter = InstanceId(link.peer.instance_id)
         link.send(LimitShares(self._answer(reporter, report.demands)))
 
@@ -99,7 +99,10 @@
         return shares
 
     def _view(self, region: str) -> View:
-        """Return how much of a region is seen; after a change its instances must report first."""
+        """Return whether the view of a region is complete.
+
+        After a change of its live instances the view is partial until all had time to report.
+        """
         live = frozenset(self._membership.live_in_region(region))
         seen = self._seen.get(region)
         if seen is None or seen.live != live:
@@ -109,7 +112,7 @@
         return View.WHOLE if whole else View.PARTIAL
 
     def take_shares(self, shares: LimitShares) -> None:
-        """Enforce the shares that an owner gave."""
+        """Enforce the shares granted by an owner."""
         for share in shares.shares:
             declared = self.catalog.organisations.get(OrganisationId(share.organisation))
             if declared is not None:
--- a/sparline/limits/_owner.py
+++ b/sparline/limits/_owner.py
@@ -1,9 +1,9 @@
-"""The owner of a limit: one instance that divides it by demand, for as long as it lives.
+"""Division of a limit by demand at the single instance that owns it.
 
-The owner keeps nothing that can't be lost: each report carries what its sender holds.
-An owner that can't see the whole home region does not know who else holds a share, so
-it only divides again what its reporters hold. That keeps the sum from growing on two
-sides of a cut.
+The owner can lose its state safely because each report carries the share that its sender
+holds. An owner that can't reach the whole home region does not know which other instances
+hold shares. It then only redistributes the shares of its reporters, which keeps the total
+from growing on both sides of a network partition.
 """
 
 from dataclasses import dataclass, field
@@ -12,59 +12,59 @@
 from sparline._clock import now_ms
 from sparline._ids import InstanceId, OrganisationId
 
-# A reporter that has been silent for so long holds its share no more than the
-# lease of that share says, and its demand counts as none.
+# A report expires after this long (ms): the demand of its sender then counts as zero, and its
+# share can be granted to others. In a partial view the share is taken out of the pool instead.
 REPORT_TTL_MS = 10_000.0
-# Part of a limit that every instance may use without asking, divided by their number.
+# Fraction of a limit that is divided evenly between all instances and needs no report.
 FLOOR_PART = 0.05
 
 
 class View(Enum):
-    """Name how much of the home region an owner sees."""
+    """Enumerate how much of the home region an owner can see."""
 
-    WHOLE = "whole"  # every instance that the list calls live, and for long enough
-    PARTIAL = "partial"  # others may hold shares that were not reported
+    WHOLE = "whole"  # all live instances, unchanged for long enough
+    PARTIAL = "partial"  # other instances may hold unreported shares
 
 
 @dataclass(frozen=True, slots=True)
 class LimitTerms:
-    """Hold what the owner must know of a limit."""
+    """Describe a limit to its owner."""
 
-    limit_per_s: float  # from the file in force
-    instances: int  # instances that may take the organisation's requests
-    view: View  # how much of the home region the owner sees
+    limit_per_s: float  # from the current declaration file
+    instances: int  # instances that may receive the organisation's requests
+    view: View  # how much of the home region the owner can see
 
 
 @dataclass(frozen=True, slots=True)
 class Reported:
-    """Hold what one instance reports of an organisation."""
+    """Hold one instance's report on an organisation."""
 
-    demand_per_s: float  # requests that arrive there
-    held_per_s: float  # share that it enforces
+    demand_per_s: float  # rate of arriving requests
+    held_per_s: float  # share that the instance enforces
 
 
 @dataclass(slots=True)
 class _Held:
-    """Hold the newest report of one instance and what it was given since."""
+    """Hold an instance's latest report and the share granted in response."""
 
-    demand_per_s: float  # requests that arrive there
-    above_per_s: float  # share above the floor
-    at_ms: float  # when it reported
+    demand_per_s: float  # rate of arriving requests
+    above_per_s: float  # share in excess of the floor
+    at_ms: float  # when the report arrived
 
 
 @dataclass(slots=True)
 class _OwnedLimit:
-    """Hold the reports on one organisation."""
+    """Hold the reports for one organisation."""
 
-    pool: float | None = None  # what is divided in a partial view, None in a whole one
+    pool: float | None = None  # rate to divide in a partial view, None in a whole view
     reports: dict[InstanceId, _Held] = field(default_factory=dict)
 
 
 class LimitOwner:
-    """Divide limits between the instances that report demand."""
+    """Divide limits between reporting instances."""
 
     def __init__(self) -> None:
-        """Start with no report."""
+        """Start without reports."""
         self._limits: dict[OrganisationId, _OwnedLimit] = {}
 
     def answer(
@@ -74,10 +74,10 @@
         demand: Reported,
         terms: LimitTerms,
     ) -> float:
-        """Take a report and return the reporter's share: a floor, and a part by demand.
+        """Process a report and return the reporter's share: the floor plus a part by demand.
 
-        The parts above the floor never sum to more than the pool, so that all shares
-        together stay within the limit.
+        The parts above the floor never sum to more than the pool, so the total of all
+        shares stays within the limit.
         """
         limit = self._limits.setdefault(organisation, _OwnedLimit())
         floor = floor_of(terms.limit_per_s, terms.instances)
@@ -88,9 +88,11 @@
         self._forget_silent(limit)
         pool = self._pool(limit, terms)
         others = sum(one.above_per_s for one in limit.reports.values()) - above
-        # What others still hold is theirs until they report a smaller share.
+        # Shares of other instances stay reserved until they report smaller ones.
         granted = max(min(_part_by_demand(limit, reporter) * pool, pool - others), 0.0)
-        assert granted + others <= max(pool, others) + 1e-6, f"{organisation} is over its limit"
+        assert granted + others <= max(pool, others) + 1e-6, (
+            f"shares of {organisation} exceed its limit"
+        )
         limit.reports[reporter].above_per_s = granted
         return floor + granted
 
@@ -109,21 +111,21 @@
         for one in silent:
             held = limit.reports.pop(one)
             if limit.pool is not None:
-                # It may hold its share still.
+                # The instance may still be enforcing its share.
                 limit.pool -= held.above_per_s
 
     def drop(self, organisations: set[OrganisationId]) -> None:
-        """Forget limits that this instance does not own any more."""
+        """Drop limits that this instance no longer owns."""
         for organisation in organisations:
             self._limits.pop(organisation, None)
 
     def owned(self) -> set[OrganisationId]:
-        """Return the limits on which there are reports."""
+        """Return the organisations for which reports are held."""
         return set(self._limits)
 
 
 def floor_of(limit_per_s: float, instances: int) -> float:
-    """Return the share that an instance has without asking."""
+    """Return the share that each instance has without reporting."""
     return limit_per_s * FLOOR_PART / max(instances, 1)
 
 
--- a/sparline/limits/tests/test_limits.py
+++ b/sparline/limits/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Shares follow demand, sum to no more than the limit, and stay when cut off."""
+"""Tests that shares follow demand, stay within the limit and survive a loss of contact."""
 
 import pytest
 from hypothesis import given, settings
@@ -23,7 +23,7 @@
     terms: LimitTerms,
     count: int = 4,
 ) -> dict[InstanceId, float]:
-    """Let every instance report and take its share a few times."""
+    """Run several rounds of reports in which each instance applies its granted share."""
     for _ in range(count):
         for one in demand:
             held[one] = owner.answer(ORG, one, Reported(demand[one], held[one]), terms)
@@ -31,13 +31,13 @@
 
 
 CASES = [
-    # name, shares held before, demand, view, least and most of each share after
+    # name, initial shares, demand, view, minimum and maximum of each resulting share
     ("even demand", {A: 33, B: 33, C: 33}, {A: 10, B: 10, C: 10}, WHOLE, {A: (30, 37), B: (30, 37), C: (30, 37)}),
-    ("all at one", {A: 33, B: 33, C: 33}, {A: 50, B: 0, C: 0}, WHOLE, {A: (90, 100), B: (1, 3), C: (1, 3)}),
+    ("all demand at one instance", {A: 33, B: 33, C: 33}, {A: 50, B: 0, C: 0}, WHOLE, {A: (90, 100), B: (1, 3), C: (1, 3)}),
     ("demand moved", {A: 97, B: 1.7, C: 1.7}, {A: 0, B: 50, C: 0}, WHOLE, {A: (1, 3), B: (90, 100), C: (1, 3)}),
     ("no demand", {A: 33, B: 33, C: 33}, {A: 0, B: 0, C: 0}, WHOLE, {A: (30, 37), B: (30, 37), C: (30, 37)}),
-    ("cut off: nothing is gained", {A: 20, B: 10}, {A: 50, B: 50}, PARTIAL, {A: (13, 17), B: (13, 17)}),
-    ("a new one beside a full one", {A: 96.6, B: 33}, {A: 50, B: 50}, WHOLE, {A: (45, 51), B: (45, 51)}),
+    ("partitioned: the total does not grow", {A: 20, B: 10}, {A: 50, B: 50}, PARTIAL, {A: (13, 17), B: (13, 17)}),
+    ("new instance while another holds the full limit", {A: 96.6, B: 33}, {A: 50, B: 50}, WHOLE, {A: (45, 51), B: (45, 51)}),
 ]  # fmt: skip
 
 
@@ -58,10 +58,10 @@
 
 @given(reports=DEMANDS)
 @settings(derandomize=True, max_examples=200, deadline=None)
-def test_shares_of_one_owner_never_exceed_the_limit(reports: list) -> None:
+def test_shares_granted_by_one_owner_stay_within_limit(reports: list) -> None:
     owner = LimitOwner()
     held = dict.fromkeys((A, B, C), LIMIT / 3)
-    # A view is whole only after everyone has reported once.
+    # A view becomes whole only after every instance has reported.
     for one in held:
         held[one] = owner.answer(ORG, one, Reported(0, held[one]), PARTIAL)
     for one, demand, whole in reports:
@@ -70,7 +70,7 @@
         assert sum(held.values()) <= LIMIT + 1e-6
 
 
-def test_bucket_lets_its_rate_through(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_bucket_admits_configured_rate(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = [0.0]
     monkeypatch.setattr(bucket_module, "now_ms", lambda: clock[0])
     bucket = Bucket(10, 5)
@@ -83,7 +83,7 @@
     assert not bucket.take() or not bucket.take()
 
 
-def test_share_without_an_answer_stays() -> None:
+def test_share_is_kept_without_new_grant() -> None:
     organisation = Organisation(
         id="o",
         key_sha256=["a" * 64],
