--- a/sparline/orders/__init__.py
+++ b/sparline/orders/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to engines: which models, versions and adapters they hold."""
+"""Orders to engines to load and unload models, versions and adapters."""
 
 from sparline.orders._plan import Order, OrderKind, wanted_orders
 from sparline.orders._runner import OrderHooks, OrderResult, OrderRunner
--- a/sparline/orders/_plan.py
+++ b/sparline/orders/_plan.py
@@ -1,4 +1,4 @@
-"""What the engines of a zone should hold, and the next order that brings them there."""
+"""Planning of the orders that bring an engine to its declared models."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class OrderKind(Enum):
-    """Name what an order asks of an engine."""
+    """Enumerate the kinds of orders."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -19,19 +19,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """Hold one order; its content follows from the files and the engine alone."""
+    """Describe one order, derived only from the declaration files and the engine's report."""
 
-    backend_server: BackendServerId  # engine that it is for
-    kind: OrderKind  # load or unload
+    backend_server: BackendServerId  # engine that receives it
+    kind: OrderKind
     what: str  # model as name@version, or adapter as name+adapter
     weights: str  # name in the weight store, empty for an unload
-    replaces: tuple[str, ...]  # older versions that make place for it
-    fence: int  # revision of the newest file that it follows from
-    target: TargetName  # model that it is about
+    replaces: tuple[str, ...]  # older versions to unload for it
+    fence: int  # newest revision of the declaration files it is derived from
+    target: TargetName  # model that it concerns
 
 
 def wanted_orders(backend: BackendState, catalog: Catalog) -> list[Order]:
-    """Return the orders that bring one engine to what the files say."""
+    """Return the orders that bring one engine to its declared state."""
     if backend.member.role is not FleetRole.engine or backend.report is None:
         return []
     server_id = BackendServerId(backend.member.id)
@@ -70,12 +70,12 @@
 
 
 def takes_warm_replica(order: Order) -> bool:
-    """Tell whether the engine can't serve the model while the order is carried out."""
+    """Tell whether the engine can't serve the model during the order."""
     return order.kind is OrderKind.LOAD and bool(order.replaces)
 
 
 def warm_elsewhere(order: Order, backends: Iterable[BackendState]) -> bool:
-    """Tell whether another engine of the zone serves the model meanwhile."""
+    """Tell whether another engine in the zone can serve the model during the order."""
     return any(
         backend.member.id != order.backend_server
         and backend.takes_work
--- a/sparline/orders/_runner.py
+++ b/sparline/orders/_runner.py
@@ -1,4 +1,4 @@
-"""Orders to the engines of this zone: one owner at a time, one order at a time."""
+"""Delivery of orders to the engines of this zone by a single owner, one order at a time."""
 
 import json
 from collections.abc import Callable
@@ -21,12 +21,12 @@
 
 ORDER_TIMEOUT_MS = 120_000.0
 READ_TIMEOUT_MS = 1_000.0
-# A zone whose last warm replica must change waits this long per zone before it.
+# Maximum wait, per preceding zone, before a zone takes its last loaded replica out of service (ms).
 STAGGER_MS = 30_000.0
 
 
 class OrderResult(Enum):
-    """Say what became of an order."""
+    """Enumerate the results of an order."""
 
     DONE = "done"
     STALE_FENCE = "stale_fence"
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderHooks:
-    """Hold what orders ask of the instance."""
+    """Bundle what the order runner needs from the instance."""
 
-    read_report: Callable[[BackendState], bool]  # read an engine's report now
-    takeover_ms: float  # wait before an unfenced engine is taken over
+    read_report: Callable[[BackendState], bool]  # fetches an engine's report; False on failure
+    takeover_ms: float  # wait of a new owner before it sends to unfenced engines
 
 
 class OrderRunner:
-    """Bring the engines of this zone to what the files say."""
+    """Bring the engines of this zone to their declared state."""
 
     def __init__(
         self,
@@ -55,8 +55,8 @@
         hooks: OrderHooks,
         metrics: Metrics,
     ) -> None:
-        """Start without the duty."""
-        self.catalog = Catalog()  # replaced when the files change
+        """Start without ownership of the zone's orders."""
+        self.catalog = Catalog()  # replaced when the declaration files change
         self._membership = membership
         self._loads = loads
         self._summaries = summaries
@@ -67,7 +67,7 @@
         self._blocked_since_ms: dict[Order, float] = {}
 
     def tick(self) -> list[OrderResult]:
-        """Send what is due now; return what became of each order."""
+        """Send the orders that are due and return the result of each."""
         self._note_duty()
         results = []
         for backend in self._loads.all():
@@ -80,7 +80,7 @@
         return results
 
     def _note_duty(self) -> None:
-        # A pause of this process may have cost it the duty without its noticing.
+        # During a pause another instance may have been the owner without this one noticing.
         paused = now_ms() - self._last_tick_ms > self._hooks.takeover_ms / 2
         self._last_tick_ms = now_ms()
         if not self._membership.has_zone_duty("orders"):
@@ -104,7 +104,7 @@
         return self._send(order, backend)
 
     def _may_take_warm_replica(self, order: Order) -> bool:
-        """Keep a warm replica: another engine here, or the zones change one after the other."""
+        """Tell whether a loaded replica remains in the zone or the preceding zones are finished."""
         if warm_elsewhere(order, self._loads.all()):
             return True
         since_ms = self._blocked_since_ms.setdefault(order, now_ms())
@@ -126,7 +126,7 @@
         return next((one.versions for one in targets if one.target == order.target), [])
 
     def _send(self, order: Order, backend: BackendState) -> OrderResult:
-        """Check duty, files and engine right before sending; read the engine again after."""
+        """Recheck ownership, declarations and engine, send the order, then reread the engine."""
         if not self._hooks.read_report(backend):
             return OrderResult.FAILED
         if order not in wanted_orders(backend, self.catalog):
--- a/sparline/orders/tests/__init__.py
+++ b/sparline/orders/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of this package."""
+"""Tests of sparline.orders."""
--- a/sparline/orders/tests/test_orders.py
+++ b/sparline/orders/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Engines are brought to what the files say; late, doubled and unowned orders do no harm."""
+"""Tests that engines reach their declared state despite late, duplicate and unowned orders."""
 
 from collections.abc import Iterator
 from dataclasses import replace
@@ -28,7 +28,9 @@
     document = as_body({"kind": "backend_servers", "backend_servers": placement})
     revision = fleet.platform.publish("backend-servers/00", document)
     holds = [one.store for one in fleet.instances.values()]
-    fleet.until(lambda: all(one.complete_revision >= revision for one in holds), "it is in force")
+    fleet.until(
+        lambda: all(one.complete_revision >= revision for one in holds), "the placement is in force"
+    )
 
 
 def publish_version(fleet: LocalFleet, version: str) -> None:
@@ -40,7 +42,7 @@
 
 
 def watch_warm(fleet: LocalFleet, coldest: list[int]) -> None:
-    """Note the fewest engines that held the model in any version at one time."""
+    """Record the minimum number of engines with any version of the model loaded."""
     while True:
         held = (one.loaded for one in fleet.engines.values())
         warm = sum(any(what.startswith("model-a@") for what in loaded) for loaded in held)
@@ -65,13 +67,13 @@
         assert len(loads) == 1
 
 
-def test_adapter_is_loaded_when_it_is_lost(fleet: LocalFleet) -> None:
+def test_lost_adapter_is_reloaded(fleet: LocalFleet) -> None:
     engine = fleet.engines["zone-a-engine-0"]
     engine.loaded.discard("model-a+tone")
-    fleet.until(lambda: "model-a+tone" in engine.loaded, "the adapter is back")
+    fleet.until(lambda: "model-a+tone" in engine.loaded, "the adapter is reloaded")
 
 
-def test_late_order_loses_where_the_engine_checks(fleet: LocalFleet) -> None:
+def test_late_order_is_rejected_by_fenced_engine(fleet: LocalFleet) -> None:
     publish_version(fleet, "v2")
     fleet.until(lambda: everyone_holds(fleet, "v2"), "all engines hold the new version")
     engine = fleet.engines["zone-a-engine-0"]
@@ -82,11 +84,11 @@
         assert status == 409
         assert "model-a@v2" in engine.loaded
     else:
-        # Nothing hinders it there; the next look at the engine repairs what it did.
+        # An unfenced engine executes it; the next read of the engine's report reverts it.
         fleet.until(lambda: everyone_holds(fleet, "v2"), "the engine is repaired")
 
 
-def test_only_the_owner_sends(fleet: LocalFleet) -> None:
+def test_only_owner_sends_orders(fleet: LocalFleet) -> None:
     publish_version(fleet, "v2")
     fleet.until(lambda: everyone_holds(fleet, "v2"), "all engines hold the new version")
     labels = {"kind": "load", "result": "done"}
@@ -101,19 +103,19 @@
     assert done() == [0, 2]
 
 
-def test_new_owner_waits_before_unfenced_engines(fleet: LocalFleet) -> None:
+def test_new_owner_waits_before_sending_to_unfenced_engines(fleet: LocalFleet) -> None:
     owner = next(one for one in fleet.instances.values() if one.membership.has_zone_duty("orders"))
     other = next(one for one in fleet.instances.values() if one is not owner)
     owner.stop()
     del fleet.instances[owner.settings.instance_id]
-    fleet.until(lambda: other.membership.has_zone_duty("orders"), "the other has the duty")
+    fleet.until(lambda: other.membership.has_zone_duty("orders"), "the other instance is the owner")
     other.orders.tick()
     backend = other.loads.all()[0]
     assert other.orders._may_send(backend) is fleet.engine_shape.fenced
     fleet.until(lambda: other.orders._may_send(backend), "the wait is over")
 
 
-def test_pause_costs_the_right_to_send_unfenced(fleet: LocalFleet) -> None:
+def test_paused_owner_waits_before_sending_to_unfenced_engines(fleet: LocalFleet) -> None:
     owner = next(one for one in fleet.instances.values() if one.membership.has_zone_duty("orders"))
     backend: BackendState = owner.loads.all()[0]
     fleet.until(lambda: owner.orders._may_send(backend), "the owner may send")
@@ -122,7 +124,7 @@
     assert owner.orders._may_send(backend) is fleet.engine_shape.fenced
 
 
-def test_zones_with_one_engine_change_one_after_the_other() -> None:
+def test_zones_with_one_engine_change_in_sequence() -> None:
     with LocalFleet(TWO_ZONES) as fleet:
         coldest = [len(fleet.engines)]
         watcher = gevent.spawn(watch_warm, fleet, coldest)
@@ -132,10 +134,10 @@
         assert coldest[0] >= 1
 
 
-def test_weight_store_paces_loads() -> None:
+def test_loads_respect_weight_store_rate() -> None:
     with LocalFleet(ONE) as fleet:
         fleet.platform._weights_per_s = 5
         publish_version(fleet, "v2")
         fleet.until(lambda: everyone_holds(fleet, "v2"), "all engines hold the new version")
-        # One order at a time: the store is never asked by two engines at once.
+        # Orders are sent one at a time, so two engines never load from the store simultaneously.
         assert fleet.platform.calls["weights_refused"] <= 1
