--- a/sparline/limits/_bucket.py
+++ b/sparline/limits/_bucket.py
@@ -10,33 +10,33 @@
         """Start with a full bucket."""
         self.rate_per_s = rate_per_s
         self.burst = max(burst, 1.0)
-        self._level = self.burst
-        self._filled_at_ms = now_ms()
+        self._tokens = self.burst
+        self._refilled_at_ms = now_ms()
 
     def change(self, rate_per_s: float, burst: float) -> None:
         """Change the rate and burst, discarding tokens above the new burst."""
-        self._fill()
+        self._refill()
         self.rate_per_s = rate_per_s
         self.burst = max(burst, 1.0)
-        self._level = min(self._level, self.burst)
+        self._tokens = min(self._tokens, self.burst)
 
     def take(self) -> bool:
         """Take one token; return False if none is available."""
-        self._fill()
-        if self._level < 1:
+        self._refill()
+        if self._tokens < 1:
             return False
-        self._level -= 1
+        self._tokens -= 1
         return True
 
     def wait_ms(self) -> float:
         """Return the time until the next token is available."""
-        self._fill()
-        missing = max(1 - self._level, 0)
+        self._refill()
+        missing = max(1 - self._tokens, 0)
         return missing / max(self.rate_per_s, 1e-6) * 1000
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = now_ms()
-        self._level = min(
-            self.burst, self._level + self.rate_per_s * (now - self._filled_at_ms) / 1000
+        self._tokens = min(
+            self.burst, self._tokens + self.rate_per_s * (now - self._refilled_at_ms) / 1000
         )
-        self._filled_at_ms = now
+        self._refilled_at_ms = now
--- a/sparline/limits/_exchange.py
+++ b/sparline/limits/_exchange.py
@@ -14,11 +14,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _SeenRegion:
+class _LiveInstances:
     """Record the live instances of a region and when this set last changed."""
 
     live: frozenset[InstanceId]
-    since_ms: float  # when the set last changed
+    changed_at_ms: float  # when the set last changed
 
 
 class LimitExchange:
@@ -45,7 +45,7 @@
         self._metrics = metrics
         self._owner = LimitOwner()
         self._settle_ms = settle_ms
-        self._seen: dict[str, _SeenRegion] = {}
+        self._live_by_region: dict[str, _LiveInstances] = {}
 
     def report(self) -> None:
         """Report demand to the owner of each active organisation's limit."""
@@ -73,10 +73,12 @@
             link.send(LimitReport(demands))
 
     def _owner_of(self, organisation: OrganisationId) -> InstanceId | None:
-        declared = self.catalog.organisations.get(organisation)
-        if declared is None:
+        declaration = self.catalog.organisations.get(organisation)
+        if declaration is None:
             return None
-        return first(f"limit/{organisation}", self._membership.live_in_region(declared.home_region))
+        return first(
+            f"limit/{organisation}", self._membership.live_in_region(declaration.home_region)
+        )
 
     def take_report(self, link: PeerLink, report: LimitReport) -> None:
         """Answer a report from another instance."""
@@ -87,11 +89,11 @@
         shares = []
         for demand in demands:
             organisation = OrganisationId(demand.organisation)
-            declared = self.catalog.organisations.get(organisation)
-            if declared is None:
+            declaration = self.catalog.organisations.get(organisation)
+            if declaration is None:
                 continue
-            view = self._view(declared.home_region)
-            terms = LimitTerms(declared.requests_per_s, len(self.catalog.instances), view)
+            view = self._view(declaration.home_region)
+            terms = LimitTerms(declaration.requests_per_s, len(self.catalog.instances), view)
             reported = Reported(demand.demand_per_s, demand.held_per_s)
             share = self._owner.answer(organisation, reporter, reported, terms)
             self._metrics.limit_grants.labels(view.value).inc()
@@ -104,16 +106,16 @@
         After a change of its live instances the view is partial until all had time to report.
         """
         live = frozenset(self._membership.live_in_region(region))
-        seen = self._seen.get(region)
-        if seen is None or seen.live != live:
-            seen = self._seen[region] = _SeenRegion(live, now_ms())
-        settled = now_ms() - seen.since_ms >= self._settle_ms
+        known = self._live_by_region.get(region)
+        if known is None or known.live != live:
+            known = self._live_by_region[region] = _LiveInstances(live, now_ms())
+        settled = now_ms() - known.changed_at_ms >= self._settle_ms
         whole = settled and self._membership.sees_whole_region(region)
         return View.WHOLE if whole else View.PARTIAL
 
     def take_shares(self, shares: LimitShares) -> None:
         """Enforce the shares granted by an owner."""
         for share in shares.shares:
-            declared = self.catalog.organisations.get(OrganisationId(share.organisation))
-            if declared is not None:
-                self._enforcer.note_share(declared, share.share_per_s)
+            declaration = self.catalog.organisations.get(OrganisationId(share.organisation))
+            if declaration is not None:
+                self._enforcer.note_share(declaration, share.share_per_s)
--- a/sparline/limits/_owner.py
+++ b/sparline/limits/_owner.py
@@ -16,7 +16,7 @@
 # share can be granted to others. In a partial view the share is taken out of the pool instead.
 REPORT_TTL_MS = 10_000.0
 # Fraction of a limit that is divided evenly between all instances and needs no report.
-FLOOR_PART = 0.05
+FLOOR_FRACTION = 0.05
 
 
 class View(Enum):
@@ -44,11 +44,11 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _InstanceReport:
     """Hold an instance's latest report and the share granted in response."""
 
     demand_per_s: float  # rate of arriving requests
-    above_per_s: float  # share in excess of the floor
+    above_floor_per_s: float  # share in excess of the floor
     at_ms: float  # when the report arrived
 
 
@@ -57,7 +57,7 @@
     """Hold the reports for one organisation."""
 
     pool: float | None = None  # rate to divide in a partial view, None in a whole view
-    reports: dict[InstanceId, _Held] = field(default_factory=dict)
+    reports: dict[InstanceId, _InstanceReport] = field(default_factory=dict)
 
 
 class LimitOwner:
@@ -80,39 +80,39 @@
         shares stays within the limit.
         """
         limit = self._limits.setdefault(organisation, _OwnedLimit())
-        floor = floor_of(terms.limit_per_s, terms.instances)
-        above = max(demand.held_per_s - floor, 0.0)
+        floor = floor_per_s(terms.limit_per_s, terms.instances)
+        above_floor = max(demand.held_per_s - floor, 0.0)
         if limit.pool is not None and reporter not in limit.reports:
-            limit.pool += above
-        limit.reports[reporter] = _Held(demand.demand_per_s, above, now_ms())
-        self._forget_silent(limit)
+            limit.pool += above_floor
+        limit.reports[reporter] = _InstanceReport(demand.demand_per_s, above_floor, now_ms())
+        self._expire_reports(limit)
         pool = self._pool(limit, terms)
-        others = sum(one.above_per_s for one in limit.reports.values()) - above
+        held_by_others = sum(one.above_floor_per_s for one in limit.reports.values()) - above_floor
         # Shares of other instances stay reserved until they report smaller ones.
-        granted = max(min(_part_by_demand(limit, reporter) * pool, pool - others), 0.0)
-        assert granted + others <= max(pool, others) + 1e-6, (
-            f"shares of {organisation} exceed its limit"
+        granted = max(min(_demand_fraction(limit, reporter) * pool, pool - held_by_others), 0.0)
+        assert granted + held_by_others <= max(pool, held_by_others) + 1e-6, (
+            f"{organisation}: shares exceed the limit"
         )
-        limit.reports[reporter].above_per_s = granted
+        limit.reports[reporter].above_floor_per_s = granted
         return floor + granted
 
     def _pool(self, limit: _OwnedLimit, terms: LimitTerms) -> float:
-        whole = terms.limit_per_s * (1 - FLOOR_PART)
+        whole = terms.limit_per_s * (1 - FLOOR_FRACTION)
         if terms.view is View.WHOLE:
             limit.pool = None
             return whole
         if limit.pool is None:
-            limit.pool = sum(one.above_per_s for one in limit.reports.values())
+            limit.pool = sum(one.above_floor_per_s for one in limit.reports.values())
         return min(limit.pool, whole)
 
-    def _forget_silent(self, limit: _OwnedLimit) -> None:
-        horizon_ms = now_ms() - REPORT_TTL_MS
-        silent = [one for one, held in limit.reports.items() if held.at_ms < horizon_ms]
-        for one in silent:
+    def _expire_reports(self, limit: _OwnedLimit) -> None:
+        oldest_ms = now_ms() - REPORT_TTL_MS
+        expired = [one for one, held in limit.reports.items() if held.at_ms < oldest_ms]
+        for one in expired:
             held = limit.reports.pop(one)
             if limit.pool is not None:
                 # The instance may still be enforcing its share.
-                limit.pool -= held.above_per_s
+                limit.pool -= held.above_floor_per_s
 
     def drop(self, organisations: set[OrganisationId]) -> None:
         """Drop limits that this instance no longer owns."""
@@ -124,12 +124,12 @@
         return set(self._limits)
 
 
-def floor_of(limit_per_s: float, instances: int) -> float:
+def floor_per_s(limit_per_s: float, instances: int) -> float:
     """Return the share that each instance has without reporting."""
-    return limit_per_s * FLOOR_PART / max(instances, 1)
+    return limit_per_s * FLOOR_FRACTION / max(instances, 1)
 
 
-def _part_by_demand(limit: _OwnedLimit, reporter: InstanceId) -> float:
+def _demand_fraction(limit: _OwnedLimit, reporter: InstanceId) -> float:
     total = sum(report.demand_per_s for report in limit.reports.values())
     if total <= 0:
         return 1 / len(limit.reports)
--- a/sparline/limits/tests/test_limits.py
+++ b/sparline/limits/tests/test_limits.py
@@ -16,7 +16,7 @@
 PARTIAL = LimitTerms(LIMIT, 3, View.PARTIAL)
 
 
-def rounds(
+def run_rounds(
     owner: LimitOwner,
     held: dict[InstanceId, float],
     demand: dict[InstanceId, float],
@@ -45,7 +45,7 @@
     ("name", "held", "demand", "terms", "wanted"), CASES, ids=[row[0] for row in CASES]
 )
 def test_shares(name: str, held: dict, demand: dict, terms: LimitTerms, wanted: dict) -> None:
-    shares = rounds(LimitOwner(), dict(held), demand, terms)
+    shares = run_rounds(LimitOwner(), dict(held), demand, terms)
     for one, (least, most) in wanted.items():
         assert least <= shares[one] <= most, shares
     assert sum(shares.values()) <= LIMIT + 1e-6
--- a/sparline/orders/_plan.py
+++ b/sparline/orders/_plan.py
@@ -52,29 +52,37 @@
     weights = {version.version: version.weights for version in model.versions}
     current = f"{name}@{model.current_version}"
     loaded = backend.report.loaded
-    old = tuple(one for one in loaded if one.startswith(f"{name}@") and one != current)
+    old_versions = tuple(one for one in loaded if one.startswith(f"{name}@") and one != current)
     if current not in loaded:
         return [
             Order(
-                server_id, OrderKind.LOAD, current, weights[model.current_version], old, fence, name
+                server_id,
+                OrderKind.LOAD,
+                current,
+                weights[model.current_version],
+                old_versions,
+                fence,
+                name,
             )
         ]
-    orders = [Order(server_id, OrderKind.UNLOAD, one, "", (), fence, name) for one in old]
+    orders = [Order(server_id, OrderKind.UNLOAD, one, "", (), fence, name) for one in old_versions]
     for adapter in model.adapters:
         what = f"{name}+{adapter.name}"
         if what not in loaded:
             orders.append(Order(server_id, OrderKind.LOAD, what, adapter.weights, (), fence, name))
     known = {f"{name}+{adapter.name}" for adapter in model.adapters}
-    gone = [one for one in loaded if one.startswith(f"{name}+") and one not in known]
-    return orders + [Order(server_id, OrderKind.UNLOAD, one, "", (), fence, name) for one in gone]
+    undeclared = [one for one in loaded if one.startswith(f"{name}+") and one not in known]
+    return orders + [
+        Order(server_id, OrderKind.UNLOAD, one, "", (), fence, name) for one in undeclared
+    ]
 
 
-def takes_warm_replica(order: Order) -> bool:
+def interrupts_serving(order: Order) -> bool:
     """Tell whether the engine can't serve the model during the order."""
     return order.kind is OrderKind.LOAD and bool(order.replaces)
 
 
-def warm_elsewhere(order: Order, backends: Iterable[BackendState]) -> bool:
+def has_other_replica(order: Order, backends: Iterable[BackendState]) -> bool:
     """Tell whether another engine in the zone can serve the model during the order."""
     return any(
         backend.member.id != order.backend_server
--- a/sparline/orders/_runner.py
+++ b/sparline/orders/_runner.py
@@ -14,7 +14,7 @@
 from sparline._metrics import Metrics
 from sparline.backends import BackendAddress, call_json
 from sparline.declarations import Catalog
-from sparline.orders._plan import Order, takes_warm_replica, wanted_orders, warm_elsewhere
+from sparline.orders._plan import Order, has_other_replica, interrupts_serving, wanted_orders
 from sparline.peers import Membership
 from sparline.routing import BackendState, LoadTable, SummaryTable
 from sparline.schema._declarations import OrderCheck
@@ -22,7 +22,7 @@
 ORDER_TIMEOUT_MS = 120_000.0
 READ_TIMEOUT_MS = 1_000.0
 # Maximum wait, per preceding zone, before a zone takes its last loaded replica out of service (ms).
-STAGGER_MS = 30_000.0
+ZONE_STAGGER_MS = 30_000.0
 
 
 class OrderResult(Enum):
@@ -63,26 +63,26 @@
         self._hooks = hooks
         self._metrics = metrics
         self._owner_since_ms: float | None = None
-        self._last_tick_ms = now_ms()
+        self._last_active_ms = now_ms()
         self._blocked_since_ms: dict[Order, float] = {}
 
     def tick(self) -> list[OrderResult]:
         """Send the orders that are due and return the result of each."""
-        self._note_duty()
+        self._update_ownership()
         results = []
         for backend in self._loads.all():
             for order in wanted_orders(backend, self.catalog):
-                result = self._consider(order, backend)
+                result = self._process(order, backend)
                 self._metrics.orders.labels(order.kind.value, result.value).inc()
                 results.append(result)
                 if result is not OrderResult.DONE:
                     break
         return results
 
-    def _note_duty(self) -> None:
+    def _update_ownership(self) -> None:
         # During a pause another instance may have been the owner without this one noticing.
-        paused = now_ms() - self._last_tick_ms > self._hooks.takeover_ms / 2
-        self._last_tick_ms = now_ms()
+        paused = now_ms() - self._last_active_ms > self._hooks.takeover_ms / 2
+        self._last_active_ms = now_ms()
         if not self._membership.has_zone_duty("orders"):
             self._owner_since_ms = None
         elif self._owner_since_ms is None or paused:
@@ -96,31 +96,31 @@
             return True
         return now_ms() - self._owner_since_ms >= self._hooks.takeover_ms
 
-    def _consider(self, order: Order, backend: BackendState) -> OrderResult:
+    def _process(self, order: Order, backend: BackendState) -> OrderResult:
         if not self._may_send(backend):
             return OrderResult.NOT_OWNER
-        if takes_warm_replica(order) and not self._may_take_warm_replica(order):
+        if interrupts_serving(order) and not self._may_interrupt_serving(order):
             return OrderResult.HELD_BACK
         return self._send(order, backend)
 
-    def _may_take_warm_replica(self, order: Order) -> bool:
+    def _may_interrupt_serving(self, order: Order) -> bool:
         """Tell whether a loaded replica remains in the zone or the preceding zones are finished."""
-        if warm_elsewhere(order, self._loads.all()):
+        if has_other_replica(order, self._loads.all()):
             return True
         since_ms = self._blocked_since_ms.setdefault(order, now_ms())
-        before = self._zones_before(order)
-        waiting = [zone for zone in before if not self._zone_has(zone, order)]
-        return not waiting or now_ms() - since_ms > STAGGER_MS * len(before)
+        preceding = self._preceding_zones(order)
+        waiting = [zone for zone in preceding if not self._zone_has_version(zone, order)]
+        return not waiting or now_ms() - since_ms > ZONE_STAGGER_MS * len(preceding)
 
-    def _zones_before(self, order: Order) -> list[ZoneName]:
+    def _preceding_zones(self, order: Order) -> list[ZoneName]:
         own = self._membership.self_hello.availability_zone
         zones = (ZoneName(held.summary.availability_zone) for held in self._summaries.fresh())
-        return [zone for zone in zones if zone < own and self._versions(zone, order)]
+        return [zone for zone in zones if zone < own and self._zone_versions(zone, order)]
 
-    def _zone_has(self, zone: ZoneName, order: Order) -> bool:
-        return order.what.partition("@")[2] in self._versions(zone, order)
+    def _zone_has_version(self, zone: ZoneName, order: Order) -> bool:
+        return order.what.partition("@")[2] in self._zone_versions(zone, order)
 
-    def _versions(self, zone: ZoneName, order: Order) -> list[str]:
+    def _zone_versions(self, zone: ZoneName, order: Order) -> list[str]:
         held = self._summaries.get(zone)
         targets = held.summary.targets if held else []
         return next((one.versions for one in targets if one.target == order.target), [])
@@ -145,7 +145,7 @@
         log.info("orders: {} {} at {}", order.kind.value, order.what, order.backend_server)
         address = BackendAddress(backend.member.ip, backend.member.port)
         answer = call_json(address, "POST", "/orders", body, ORDER_TIMEOUT_MS)
-        self._last_tick_ms = now_ms()
+        self._last_active_ms = now_ms()
         self._hooks.read_report(backend)
         match answer:
             case Ok((200, _)):
--- a/sparline/orders/tests/test_orders.py
+++ b/sparline/orders/tests/test_orders.py
@@ -27,9 +27,10 @@
     placement = [{"id": one, "orders": check, "models": ["model-a"]} for one in fleet.engines]
     document = as_body({"kind": "backend_servers", "backend_servers": placement})
     revision = fleet.platform.publish("backend-servers/00", document)
-    holds = [one.store for one in fleet.instances.values()]
+    stores = [one.store for one in fleet.instances.values()]
     fleet.until(
-        lambda: all(one.complete_revision >= revision for one in holds), "the placement is in force"
+        lambda: all(one.complete_revision >= revision for one in stores),
+        "the placement is in force",
     )
 
 
@@ -37,26 +38,26 @@
     fleet.platform.publish("models/model-a", as_body(model_file(SHAPE, version)))
 
 
-def everyone_holds(fleet: LocalFleet, version: str) -> bool:
+def all_engines_hold(fleet: LocalFleet, version: str) -> bool:
     return all(f"model-a@{version}" in one.loaded for one in fleet.engines.values())
 
 
-def watch_warm(fleet: LocalFleet, coldest: list[int]) -> None:
+def record_min_loaded(fleet: LocalFleet, min_loaded: list[int]) -> None:
     """Record the minimum number of engines with any version of the model loaded."""
     while True:
         held = (one.loaded for one in fleet.engines.values())
-        warm = sum(any(what.startswith("model-a@") for what in loaded) for loaded in held)
-        coldest[0] = min(coldest[0], warm)
+        loaded_engines = sum(any(what.startswith("model-a@") for what in loaded) for loaded in held)
+        min_loaded[0] = min(min_loaded[0], loaded_engines)
         gevent.sleep(0.002)
 
 
 def test_version_change_keeps_a_warm_replica(fleet: LocalFleet) -> None:
-    coldest = [len(fleet.engines)]
-    watcher = gevent.spawn(watch_warm, fleet, coldest)
+    min_loaded = [len(fleet.engines)]
+    watcher = gevent.spawn(record_min_loaded, fleet, min_loaded)
     publish_version(fleet, "v2")
-    fleet.until(lambda: everyone_holds(fleet, "v2"), "all engines hold the new version")
+    fleet.until(lambda: all_engines_hold(fleet, "v2"), "all engines hold the new version")
     watcher.kill()
-    assert coldest[0] == 1
+    assert min_loaded[0] == 1
     for engine in fleet.engines.values():
         assert "model-a@v1" not in engine.loaded
         loads = [
@@ -75,7 +76,7 @@
 
 def test_late_order_is_rejected_by_fenced_engine(fleet: LocalFleet) -> None:
     publish_version(fleet, "v2")
-    fleet.until(lambda: everyone_holds(fleet, "v2"), "all engines hold the new version")
+    fleet.until(lambda: all_engines_hold(fleet, "v2"), "all engines hold the new version")
     engine = fleet.engines["zone-a-engine-0"]
     late = b'{"fence": 1, "kind": "load", "what": "model-a@v1", "weights": "w", "replaces": ["model-a@v2"]}'
     address = BackendAddress("127.0.0.1", engine._server.server_port)
@@ -85,12 +86,12 @@
         assert "model-a@v2" in engine.loaded
     else:
         # An unfenced engine executes it; the next read of the engine's report reverts it.
-        fleet.until(lambda: everyone_holds(fleet, "v2"), "the engine is repaired")
+        fleet.until(lambda: all_engines_hold(fleet, "v2"), "the engine is repaired")
 
 
 def test_only_owner_sends_orders(fleet: LocalFleet) -> None:
     publish_version(fleet, "v2")
-    fleet.until(lambda: everyone_holds(fleet, "v2"), "all engines hold the new version")
+    fleet.until(lambda: all_engines_hold(fleet, "v2"), "all engines hold the new version")
     labels = {"kind": "load", "result": "done"}
 
     def done() -> list[float]:
@@ -119,25 +120,25 @@
     owner = next(one for one in fleet.instances.values() if one.membership.has_zone_duty("orders"))
     backend: BackendState = owner.loads.all()[0]
     fleet.until(lambda: owner.orders._may_send(backend), "the owner may send")
-    owner.orders._last_tick_ms -= 1000
-    owner.orders._note_duty()
+    owner.orders._last_active_ms -= 1000
+    owner.orders._update_ownership()
     assert owner.orders._may_send(backend) is fleet.engine_shape.fenced
 
 
 def test_zones_with_one_engine_change_in_sequence() -> None:
     with LocalFleet(TWO_ZONES) as fleet:
-        coldest = [len(fleet.engines)]
-        watcher = gevent.spawn(watch_warm, fleet, coldest)
+        min_loaded = [len(fleet.engines)]
+        watcher = gevent.spawn(record_min_loaded, fleet, min_loaded)
         publish_version(fleet, "v2")
-        fleet.until(lambda: everyone_holds(fleet, "v2"), "all engines hold the new version")
+        fleet.until(lambda: all_engines_hold(fleet, "v2"), "all engines hold the new version")
         watcher.kill()
-        assert coldest[0] >= 1
+        assert min_loaded[0] >= 1
 
 
 def test_loads_respect_weight_store_rate() -> None:
     with LocalFleet(ONE) as fleet:
         fleet.platform._weights_per_s = 5
         publish_version(fleet, "v2")
-        fleet.until(lambda: everyone_holds(fleet, "v2"), "all engines hold the new version")
+        fleet.until(lambda: all_engines_hold(fleet, "v2"), "all engines hold the new version")
         # Orders are sent one at a time, so two engines never load from the store simultaneously.
         assert fleet.platform.calls["weights_refused"] <= 1
