--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -42,7 +42,7 @@
 MAX_SUSPECT_SENDS = 1
 # Refusal reasons that apply to every server in the region.
 REGION_FULL_REASONS = (Reason.DEADLINE_UNREACHABLE, Reason.NO_BACKEND)
-REVOKED_KEY_BODY = b"Authorization: expected a key in force, found one that was just withdrawn\n"
+WITHDRAWN_KEY_BODY = b"Authorization: expected a key in force, found one that was just withdrawn\n"
 TEXT_CONTENT_TYPE = (b"Content-Type", b"text/plain; charset=utf-8")
 QUARANTINED_BODY = (
     b"expected a backend server to answer this request, found that each one that ran it ended; "
@@ -74,7 +74,7 @@
     note_retry: Callable[[RoutedRequest, Placement, AttemptEnd], None]  # logs and counts a retry
     note_broken: Callable[[RoutedRequest, Placement, SentEnd], None]  # logs and counts a break
     crashes: CrashTable  # servers that exited while running requests
-    is_barred: Callable[[RoutedRequest], bool]  # whether its API key was revoked
+    is_barred: Callable[[RoutedRequest], bool]  # whether its API key was withdrawn
     refusal_headers: Callable[[OwnAnswer], Headers]  # for responses generated here
 
 
@@ -135,7 +135,7 @@
     def run_to_end(self) -> RequestEnd:
         while True:
             if self._parts.is_barred(self._request):
-                return self._end_key_revoked()
+                return self._end_key_withdrawn()
             verdict = self._quarantine_verdict()
             if verdict is Verdict.QUARANTINED:
                 return self._end_quarantined()
@@ -308,14 +308,14 @@
         self._caller.answer(502, [*headers, TEXT_CONTENT_TYPE], QUARANTINED_BODY)
         return self._make_end(502, Reason.QUARANTINED)
 
-    def _end_key_revoked(self) -> RequestEnd:
-        """End a request whose API key was revoked without sending it again."""
+    def _end_key_withdrawn(self) -> RequestEnd:
+        """End a request whose API key was withdrawn without sending it again."""
         if self._progress.began:
             return self._abort_answer(Reason.KEY_WITHDRAWN)
         if self._progress.may_have_run or self._request.origin is Origin.RELAY:
             return self._end_with_own_answer(Reason.KEY_WITHDRAWN, DEFAULT_RETRY_AFTER_MS)
         self._caller.answer(
-            401, [(b"WWW-Authenticate", b"Bearer"), TEXT_CONTENT_TYPE], REVOKED_KEY_BODY
+            401, [(b"WWW-Authenticate", b"Bearer"), TEXT_CONTENT_TYPE], WITHDRAWN_KEY_BODY
         )
         return self._make_end(401, Reason.KEY_WITHDRAWN, ran=False)
 
