--- a/sparline/forwarding/__init__.py
+++ b/sparline/forwarding/__init__.py
@@ -7,7 +7,7 @@
     Progress,
     SentEnd,
 )
-from sparline.forwarding._events import EventCutter
+from sparline.forwarding._events import EventSplitter
 from sparline.forwarding._forwarder import Forwarder, ForwarderParts, RequestEnd, may_move
 from sparline.forwarding._retry_window import RetryRule, RetryWindow
 from sparline.forwarding._wire import (
@@ -24,7 +24,7 @@
     "AttemptEnd",
     "AttemptResult",
     "AttemptTools",
-    "EventCutter",
+    "EventSplitter",
     "Forwarder",
     "ForwarderParts",
     "OwnAnswer",
--- a/sparline/forwarding/_attempt_types.py
+++ b/sparline/forwarding/_attempt_types.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 from sparline._ids import BackendServerId, RegionName
-from sparline.forwarding._events import EventCutter
+from sparline.forwarding._events import EventSplitter
 from sparline.forwarding._wire import Wire
 from sparline.http import ConnectionPool, HttpAnswer
 from sparline.placement import HealthTable, PaceTable, ServerLimitTable, WatchTables
@@ -47,7 +47,7 @@
 class Progress:
     """Track state shared by the attempts at one request."""
 
-    cutter: EventCutter  # event parser that tracks what the caller received
+    cutter: EventSplitter  # event parser that tracks what the caller received
     sends: int = 0  # attempts sent by this instance
     refused_sends: int = 0  # sent attempts proven not to have run
     sent_at_ms: float = 0.0  # when the last attempt was sent
--- a/sparline/forwarding/_events.py
+++ b/sparline/forwarding/_events.py
@@ -6,7 +6,7 @@
 EVENT_ID_LINE = re.compile(rb"(?:^|\n)id:[ ]?(\d+)")
 
 
-class EventCutter:
+class EventSplitter:
     """Emit only complete events so that a resumed stream neither repeats nor omits any."""
 
     def __init__(self, resume_after: int | None) -> None:
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -16,7 +16,7 @@
     Progress,
     SentEnd,
 )
-from sparline.forwarding._events import EventCutter
+from sparline.forwarding._events import EventSplitter
 from sparline.forwarding._resume_wait import is_caller_waiting, should_delay_resume
 from sparline.forwarding._retry_window import RetryWindow
 from sparline.forwarding._wire import OwnAnswer, SendTerms
@@ -89,7 +89,7 @@
         self, request: RoutedRequest, caller: CallerConnection, sends_left: int
     ) -> RequestEnd:
         """Respond to a request; at most `sends_left` backend servers may run it."""
-        progress = Progress(EventCutter(request.resume_after))
+        progress = Progress(EventSplitter(request.resume_after))
         self._parts.retries.note_request(request.service)
         handler = gevent.getcurrent()
         caller.watch(lambda: handler.kill(CallerGone, block=False))
--- a/sparline/forwarding/tests/test_events.py
+++ b/sparline/forwarding/tests/test_events.py
@@ -1,6 +1,6 @@
 import pytest
 
-from sparline.forwarding import EventCutter
+from sparline.forwarding import EventSplitter
 
 ONE = b"id: 1\ndata: a\n\n"
 TWO = b"id: 2\ndata: b\n\n"
@@ -19,13 +19,13 @@
     ("pieces", "passed", "last_id"), [row[1:] for row in CUTS], ids=[row[0] for row in CUTS]
 )
 def test_only_complete_events_are_emitted(pieces, passed, last_id):
-    cutter = EventCutter(None)
+    cutter = EventSplitter(None)
     assert b"".join(cutter.feed(piece) for piece in pieces) == passed
     assert cutter.last_id == last_id
 
 
 def test_new_attempt_discards_partial_event():
-    cutter = EventCutter(None)
+    cutter = EventSplitter(None)
     assert cutter.feed(ONE + TWO[:9]) == ONE
     cutter.begin_attempt()
     assert cutter.feed(TWO + THREE) == TWO + THREE
@@ -33,12 +33,12 @@
 
 
 def test_rest_returns_bytes_after_last_event():
-    cutter = EventCutter(None)
+    cutter = EventSplitter(None)
     assert cutter.feed(ONE + b"data: end") == ONE
     assert cutter.rest() == b"data: end"
 
 
 def test_pending_bytes_counts_incomplete_event():
-    cutter = EventCutter(None)
+    cutter = EventSplitter(None)
     cutter.feed(ONE + b"x" * 500)
     assert cutter.pending_bytes() == 500
--- a/sparline/forwarding/tests/test_resume_wait.py
+++ b/sparline/forwarding/tests/test_resume_wait.py
@@ -4,7 +4,7 @@
 from sparline._ids import BackendServerId
 from sparline.fleet import LoadOf
 from sparline.forwarding._attempt_types import Progress
-from sparline.forwarding._events import EventCutter
+from sparline.forwarding._events import EventSplitter
 from sparline.forwarding._resume_wait import caller_patience_ms, should_delay_resume
 from sparline.placement import Doubt, Placement
 from sparline.tests.routed import make_request, make_route, make_server
@@ -39,12 +39,12 @@
 @pytest.mark.parametrize("row", ROWS, ids=[row[0] for row in ROWS])
 def test_interrupted_stream_waits_for_short_queue(row):
     _, began, ago_ms, queue_ms, waits = row
-    progress = Progress(EventCutter(None), began=began, heard_at_ms=now_ms() - ago_ms)
+    progress = Progress(EventSplitter(None), began=began, heard_at_ms=now_ms() - ago_ms)
     assert should_delay_resume(make_request(), progress, place(queue_ms)) is waits
 
 
 def test_stream_resumed_by_caller_waits_from_arrival():
-    progress = Progress(EventCutter(3))
+    progress = Progress(EventSplitter(3))
     assert should_delay_resume(make_request(resume_after=3), progress, place(500.0))
     old = make_request(resume_after=3, arrived_at_ms=now_ms() - 1_700.0)
     assert not should_delay_resume(old, progress, place(500.0))
