--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -180,7 +180,7 @@
         try:
             head = self._request_head(terms)
             self._progress.sends += 1
-            self._progress.cutter.begin_attempt()
+            self._progress.splitter.begin_attempt()
             self._progress.sent_at_ms = now_ms()
             connection.send(head, self._request.body)
             answer = self._read_with_liveness_checks(
@@ -346,15 +346,15 @@
             piece := self._read_with_liveness_checks(lambda: connection.read_piece(answer))
         ) is not None:
             self._tools.health.note_event(self._server_id)
-            complete_events = self._progress.cutter.feed(piece)
-            if self._progress.cutter.pending_bytes() > MAX_EVENT_BYTES:
+            complete_events = self._progress.splitter.feed(piece)
+            if self._progress.splitter.pending_bytes() > MAX_EVENT_BYTES:
                 raise ConnectionBroken(f"server-sent event exceeds {MAX_EVENT_BYTES} bytes")
             if complete_events:
                 self._note_event()
                 self._begin_answer(answer)
                 self._caller.send(complete_events)
         self._begin_answer(answer)
-        self._caller.send(self._progress.cutter.rest())
+        self._caller.send(self._progress.splitter.rest())
         self._caller.finish()
         self._tools.health.note_success(self._server_id)
         self._watch.note_end()
--- a/sparline/forwarding/_attempt_types.py
+++ b/sparline/forwarding/_attempt_types.py
@@ -47,7 +47,7 @@
 class Progress:
     """Track state shared by the attempts at one request."""
 
-    cutter: EventSplitter  # event parser that tracks what the caller received
+    splitter: EventSplitter  # event parser that tracks what the caller received
     sends: int = 0  # attempts sent by this instance
     refused_sends: int = 0  # sent attempts proven not to have run
     sent_at_ms: float = 0.0  # when the last attempt was sent
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -196,7 +196,7 @@
         terms = SendTerms(
             server_id=place.server.id,
             left_ms=request.left_ms(),
-            resume_after=self._progress.cutter.last_id,
+            resume_after=self._progress.splitter.last_id,
             sends_left=self._sends_left,
             source=place.source.address if place.source else None,
             is_watched=self._has_unexplained_interruption(),
--- a/sparline/forwarding/tests/test_events.py
+++ b/sparline/forwarding/tests/test_events.py
@@ -19,26 +19,26 @@
     ("pieces", "passed", "last_id"), [row[1:] for row in CUTS], ids=[row[0] for row in CUTS]
 )
 def test_only_complete_events_are_emitted(pieces, passed, last_id):
-    cutter = EventSplitter(None)
-    assert b"".join(cutter.feed(piece) for piece in pieces) == passed
-    assert cutter.last_id == last_id
+    splitter = EventSplitter(None)
+    assert b"".join(splitter.feed(piece) for piece in pieces) == passed
+    assert splitter.last_id == last_id
 
 
 def test_new_attempt_discards_partial_event():
-    cutter = EventSplitter(None)
-    assert cutter.feed(ONE + TWO[:9]) == ONE
-    cutter.begin_attempt()
-    assert cutter.feed(TWO + THREE) == TWO + THREE
-    assert cutter.last_id == 3
+    splitter = EventSplitter(None)
+    assert splitter.feed(ONE + TWO[:9]) == ONE
+    splitter.begin_attempt()
+    assert splitter.feed(TWO + THREE) == TWO + THREE
+    assert splitter.last_id == 3
 
 
 def test_rest_returns_bytes_after_last_event():
-    cutter = EventSplitter(None)
-    assert cutter.feed(ONE + b"data: end") == ONE
-    assert cutter.rest() == b"data: end"
+    splitter = EventSplitter(None)
+    assert splitter.feed(ONE + b"data: end") == ONE
+    assert splitter.rest() == b"data: end"
 
 
 def test_pending_bytes_counts_incomplete_event():
-    cutter = EventSplitter(None)
-    cutter.feed(ONE + b"x" * 500)
-    assert cutter.pending_bytes() == 500
+    splitter = EventSplitter(None)
+    splitter.feed(ONE + b"x" * 500)
+    assert splitter.pending_bytes() == 500
