--- a/sparline/forwarding/__init__.py
+++ b/sparline/forwarding/__init__.py
@@ -13,8 +13,8 @@
 from sparline.forwarding._wire import (
     AnswerKind,
     AnswerMeaning,
+    AttemptParameters,
     OwnAnswer,
-    SendTerms,
     Wire,
 )
 
@@ -22,6 +22,7 @@
     "AnswerKind",
     "AnswerMeaning",
     "AttemptEnd",
+    "AttemptParameters",
     "AttemptResult",
     "AttemptTools",
     "EventSplitter",
@@ -32,7 +33,6 @@
     "RequestEnd",
     "RetryRule",
     "RetryWindow",
-    "SendTerms",
     "SentEnd",
     "Wire",
     "may_move",
--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -8,7 +8,7 @@
 from sparline._clock import now_ms
 from sparline._ids import BackendServerId
 from sparline.forwarding._attempt_types import AttemptEnd, AttemptResult, AttemptTools, Progress
-from sparline.forwarding._wire import AnswerKind, AnswerMeaning, SendTerms, Wire
+from sparline.forwarding._wire import AnswerKind, AnswerMeaning, AttemptParameters, Wire
 from sparline.http import (
     BackendConnection,
     CallerConnection,
@@ -80,7 +80,7 @@
         self._watch = StreamWatch(tools.watch, request, placement, reservation)
         self._server_id = placement.server.id
 
-    def run(self, terms: SendTerms) -> AttemptEnd:
+    def run(self, terms: AttemptParameters) -> AttemptEnd:
         """Send the request and forward the response; close the connection after any failure."""
         connection = self._connect()
         if connection is None:
@@ -122,7 +122,7 @@
             return self._server_id
         return self._tools.ends.witnessed_end(self._server_id, self._probe_connections)
 
-    def _find_probe_connections(self, terms: SendTerms) -> tuple[BackendConnection, ...]:
+    def _find_probe_connections(self, terms: AttemptParameters) -> tuple[BackendConnection, ...]:
         """Return other connections to the server, opening one if the request is monitored."""
         if self._placement.peer is not None:
             return ()
@@ -175,7 +175,7 @@
         else:
             self._tools.health.note_failure(self._server_id, "broken")
 
-    def _exchange(self, connection: BackendConnection, terms: SendTerms) -> AttemptEnd:
+    def _exchange(self, connection: BackendConnection, terms: AttemptParameters) -> AttemptEnd:
         answered = False
         try:
             head = self._request_head(terms)
@@ -198,7 +198,7 @@
                 # Closing the connection makes the server abort any remaining work.
                 connection.close()
 
-    def _request_head(self, terms: SendTerms) -> bytes:
+    def _request_head(self, terms: AttemptParameters) -> bytes:
         return self._wire().send_head(self._request, terms)
 
     def _wire(self) -> Wire:
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -19,7 +19,7 @@
 from sparline.forwarding._events import EventSplitter
 from sparline.forwarding._resume_wait import is_caller_waiting, should_delay_resume
 from sparline.forwarding._retry_window import RetryWindow
-from sparline.forwarding._wire import OwnAnswer, SendTerms
+from sparline.forwarding._wire import AttemptParameters, OwnAnswer
 from sparline.http import CallerConnection, CallerGone, Headers, end_to_end
 from sparline.placement import Chooser, LoadTable, Placement, Refusal
 from sparline.quarantine import CrashTable, Learnt, RequestDigest, Verdict
@@ -193,7 +193,7 @@
         held = request.prompt.held_tokens if request.prompt else 0
         reservation = self._parts.loads.reserve(place.server, held, place.effort_tokens)
         self._parts.chooser.note_sent(request, place)
-        terms = SendTerms(
+        terms = AttemptParameters(
             server_id=place.server.id,
             left_ms=request.left_ms(),
             resume_after=self._progress.splitter.last_id,
--- a/sparline/forwarding/_wire.py
+++ b/sparline/forwarding/_wire.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendTerms:
+class AttemptParameters:
     """Hold the parameters that one attempt adds to the request."""
 
     server_id: BackendServerId  # server incarnation that must run it
@@ -60,7 +60,7 @@
 class Wire(Protocol):
     """Implement the protocol used with backend servers or with other instances."""
 
-    def send_head(self, request: RoutedRequest, terms: SendTerms) -> bytes:
+    def send_head(self, request: RoutedRequest, terms: AttemptParameters) -> bytes:
         """Return the encoded head of a request."""
         ...
 
--- a/sparline/platform/_requests.py
+++ b/sparline/platform/_requests.py
@@ -6,7 +6,7 @@
 from result import Err, Ok, Result
 
 from sparline._ids import BackendServerId, OrganisationId, RequestId
-from sparline.forwarding import AnswerKind, AnswerMeaning, OwnAnswer, SendTerms
+from sparline.forwarding import AnswerKind, AnswerMeaning, AttemptParameters, OwnAnswer
 from sparline.http import Headers, HttpAnswer, HttpRequest, end_to_end
 from sparline.platform import _names as names
 from sparline.platform._incarnations import listed_id
@@ -154,7 +154,7 @@
 class ServerWire:
     """Speak to backend servers."""
 
-    def send_head(self, request: RoutedRequest, terms: SendTerms) -> bytes:
+    def send_head(self, request: RoutedRequest, terms: AttemptParameters) -> bytes:
         """Return the head of a request to a backend server."""
         own = [
             (names.EXPECTED_SERVER, listed_id(terms.server_id).encode("latin-1")),
@@ -189,7 +189,7 @@
 class InstanceWire:
     """Speak to other instances: the caller's request, marked as relayed."""
 
-    def send_head(self, request: RoutedRequest, terms: SendTerms) -> bytes:
+    def send_head(self, request: RoutedRequest, terms: AttemptParameters) -> bytes:
         """Return the head of a relayed request."""
         own = [
             (names.RELAY_SERVICE, request.service.encode("latin-1")),
@@ -230,7 +230,7 @@
     return b"%d %b %b" % (caller.version, digits, caller.organisation.id.encode("latin-1"))
 
 
-def _deadline_and_resume(request: RoutedRequest, terms: SendTerms) -> Headers:
+def _deadline_and_resume(request: RoutedRequest, terms: AttemptParameters) -> Headers:
     headers = [(names.DEADLINE, b"%d" % max(terms.left_ms, 1))]
     if terms.resume_after is not None and request.route.resumable:
         headers.append((names.LAST_EVENT, b"%d" % terms.resume_after))
--- a/sparline/platform/tests/test_requests.py
+++ b/sparline/platform/tests/test_requests.py
@@ -1,7 +1,7 @@
 import pytest
 
 from sparline._ids import BackendServerId, RequestId
-from sparline.forwarding import AnswerKind, OwnAnswer, SendTerms
+from sparline.forwarding import AnswerKind, AttemptParameters, OwnAnswer
 from sparline.http import HttpAnswer, HttpRequest
 from sparline.platform import (
     InstanceWire,
@@ -123,7 +123,7 @@
     key = digest_of_key(b"k1")
     ore = Organisation("ore", frozenset((key,)), 3, frozenset(), None)
     request = make_request(caller=KnownCaller(7, ore, key))
-    terms = SendTerms(BackendServerId("s1"), 1234.6, None, 1)
+    terms = AttemptParameters(BackendServerId("s1"), 1234.6, None, 1)
     to_server = ServerWire().send_head(request, terms)
     assert b"\r\ntenant: ore\r\n" in to_server
     assert b"\r\nrequest-priority: 3\r\n" in to_server
@@ -257,7 +257,7 @@
 )
 def test_the_head_of_a_send(route, resume_after, told):
     request = make_request(route, body=b"abc")
-    terms = SendTerms(BackendServerId("s1"), 1234.6, resume_after, 1)
+    terms = AttemptParameters(BackendServerId("s1"), 1234.6, resume_after, 1)
     for wire in (ServerWire(), InstanceWire()):
         head = wire.send_head(request, terms)
         assert head.startswith(b"POST /a/1 HTTP/1.1\r\nhost: host.example\r\n")
@@ -273,7 +273,7 @@
 
 @pytest.mark.parametrize(("source", "line"), SOURCES)
 def test_a_server_is_told_where_a_start_is_kept(source, line):
-    terms = SendTerms(BackendServerId("s1"), 1_000.0, None, 1, source)
+    terms = AttemptParameters(BackendServerId("s1"), 1_000.0, None, 1, source)
     head = ServerWire().send_head(make_request(make_route()), terms)
     assert line in head
     assert (b"kv-fetch" in head) is (source is not None)
