--- a/sparline/forwarding/__init__.py
+++ b/sparline/forwarding/__init__.py
@@ -4,8 +4,8 @@
     AttemptEnd,
     AttemptResult,
     AttemptTools,
+    InterruptedAttempt,
     Progress,
-    SentEnd,
 )
 from sparline.forwarding._events import EventSplitter
 from sparline.forwarding._forwarder import Forwarder, ForwarderParts, RequestEnd, may_move
@@ -28,12 +28,12 @@
     "EventSplitter",
     "Forwarder",
     "ForwarderParts",
+    "InterruptedAttempt",
     "OwnAnswer",
     "Progress",
     "RequestEnd",
     "RetryRule",
     "RetryWindow",
-    "SentEnd",
     "Wire",
     "may_move",
 ]
--- a/sparline/forwarding/_attempt_types.py
+++ b/sparline/forwarding/_attempt_types.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SentEnd:
+class InterruptedAttempt:
     """Describe the end of an attempt that a backend server may have started to run."""
 
     end: AttemptEnd
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -13,8 +13,8 @@
     AttemptEnd,
     AttemptResult,
     AttemptTools,
+    InterruptedAttempt,
     Progress,
-    SentEnd,
 )
 from sparline.forwarding._events import EventSplitter
 from sparline.forwarding._resume_wait import is_caller_waiting, should_delay_resume
@@ -72,7 +72,9 @@
     retries: RetryWindow  # retry budget
     tools: AttemptTools  # dependencies of attempts
     note_retry: Callable[[RoutedRequest, Placement, AttemptEnd], None]  # logs and counts a retry
-    note_broken: Callable[[RoutedRequest, Placement, SentEnd], None]  # logs and counts a break
+    note_broken: Callable[
+        [RoutedRequest, Placement, InterruptedAttempt], None
+    ]  # logs and counts a break
     crashes: CrashTable  # servers that exited while running requests
     is_barred: Callable[[RoutedRequest], bool]  # whether its API key was withdrawn
     refusal_headers: Callable[[OwnAnswer], Headers]  # for responses generated here
@@ -237,7 +239,7 @@
         self._note_crash(place, end)
         if end.result is AttemptResult.MAY_HAVE_RUN:
             sent_ago_ms = now_ms() - self._progress.sent_at_ms
-            sent = SentEnd(end, sent_ago_ms, self._progress.began)
+            sent = InterruptedAttempt(end, sent_ago_ms, self._progress.began)
             self._parts.note_broken(self._request, place, sent)
 
     def _note_region_full(self, place: Placement, end: AttemptEnd) -> None:
--- a/sparline/gateway/_request_log.py
+++ b/sparline/gateway/_request_log.py
@@ -4,7 +4,7 @@
 from sparline._hashing import hash64
 from sparline._ids import BackendServerId
 from sparline._logging import log
-from sparline.forwarding import AttemptEnd, RequestEnd, SentEnd
+from sparline.forwarding import AttemptEnd, InterruptedAttempt, RequestEnd
 from sparline.gateway._log_output import LineBudget
 from sparline.gateway._metrics import GatewayMetrics
 from sparline.placement import ColdUse, Placement, Refusal, ServerLimit
@@ -44,7 +44,9 @@
                 left_ms=round(request.left_ms()),
             ).info("request_retried")
 
-    def note_broken(self, request: RoutedRequest, place: Placement, end: SentEnd) -> None:
+    def note_broken(
+        self, request: RoutedRequest, place: Placement, end: InterruptedAttempt
+    ) -> None:
         """Note that an answer broke off, and in what state its server was."""
         self._metrics.breaks.labels(end.end.reason.value).inc()
         if self._broken.take():
