--- a/sparline/forwarding/__init__.py
+++ b/sparline/forwarding/__init__.py
@@ -1,9 +1,9 @@
 """Request forwarding: attempts, retries, stream resumption and relaying through peers."""
 
 from sparline.forwarding._attempt_types import (
+    AttemptDependencies,
     AttemptEnd,
     AttemptResult,
-    AttemptTools,
     InterruptedAttempt,
     Progress,
 )
@@ -21,10 +21,10 @@
 __all__ = [
     "AnswerKind",
     "AnswerMeaning",
+    "AttemptDependencies",
     "AttemptEnd",
     "AttemptParameters",
     "AttemptResult",
-    "AttemptTools",
     "EventSplitter",
     "Forwarder",
     "ForwarderParts",
--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -7,7 +7,12 @@
 
 from sparline._clock import now_ms
 from sparline._ids import BackendServerId
-from sparline.forwarding._attempt_types import AttemptEnd, AttemptResult, AttemptTools, Progress
+from sparline.forwarding._attempt_types import (
+    AttemptDependencies,
+    AttemptEnd,
+    AttemptResult,
+    Progress,
+)
 from sparline.forwarding._wire import AnswerKind, AnswerMeaning, AttemptParameters, Wire
 from sparline.http import (
     BackendConnection,
@@ -62,7 +67,7 @@
 
     def __init__(
         self,
-        tools: AttemptTools,
+        tools: AttemptDependencies,
         request: RoutedRequest,
         placement: Placement,
         reservation: Reservation,
--- a/sparline/forwarding/_attempt_types.py
+++ b/sparline/forwarding/_attempt_types.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptTools:
+class AttemptDependencies:
     """Bundle the dependencies of attempts."""
 
     pool: ConnectionPool  # persistent connections
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -10,9 +10,9 @@
 from sparline._ids import BackendServerId
 from sparline.forwarding._attempt import Attempt
 from sparline.forwarding._attempt_types import (
+    AttemptDependencies,
     AttemptEnd,
     AttemptResult,
-    AttemptTools,
     InterruptedAttempt,
     Progress,
 )
@@ -70,7 +70,7 @@
     chance: random.Random  # random number generator for jitter
     loads: LoadTable  # requests in flight by server
     retries: RetryWindow  # retry budget
-    tools: AttemptTools  # dependencies of attempts
+    tools: AttemptDependencies  # dependencies of attempts
     note_retry: Callable[[RoutedRequest, Placement, AttemptEnd], None]  # logs and counts a retry
     note_broken: Callable[
         [RoutedRequest, Placement, InterruptedAttempt], None
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -32,7 +32,7 @@
     watches_store,
 )
 from sparline.forwarding import (
-    AttemptTools,
+    AttemptDependencies,
     Forwarder,
     ForwarderParts,
     OwnAnswer,
@@ -244,7 +244,7 @@
         )
 
     def _forwarder(self, headers: Callable[[OwnAnswer], Headers]) -> Forwarder:
-        tools = AttemptTools(
+        tools = AttemptDependencies(
             pool=self._pool,
             backend_wire=ServerWire(),
             peer_wire=InstanceWire(),
