--- a/sparline/forwarding/__init__.py
+++ b/sparline/forwarding/__init__.py
@@ -8,7 +8,7 @@
     Progress,
 )
 from sparline.forwarding._events import EventSplitter
-from sparline.forwarding._forwarder import Forwarder, ForwarderParts, RequestEnd, may_move
+from sparline.forwarding._forwarder import Forwarder, ForwarderDependencies, RequestEnd, may_move
 from sparline.forwarding._retry_window import RetryRule, RetryWindow
 from sparline.forwarding._wire import (
     AnswerKind,
@@ -27,7 +27,7 @@
     "AttemptResult",
     "EventSplitter",
     "Forwarder",
-    "ForwarderParts",
+    "ForwarderDependencies",
     "InterruptedAttempt",
     "OwnAnswer",
     "Progress",
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ForwarderParts:
+class ForwarderDependencies:
     """Bundle the dependencies of a forwarder."""
 
     chooser: Chooser  # selects backend servers
@@ -83,7 +83,7 @@
 class Forwarder:
     """Forward requests and end each of them exactly once."""
 
-    def __init__(self, parts: ForwarderParts) -> None:
+    def __init__(self, parts: ForwarderDependencies) -> None:
         """Use the dependencies of one instance."""
         self._parts = parts
 
@@ -116,7 +116,7 @@
 
     def __init__(
         self,
-        parts: ForwarderParts,
+        parts: ForwarderDependencies,
         request: RoutedRequest,
         caller: CallerConnection,
         sends_left: int,
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -34,7 +34,7 @@
 from sparline.forwarding import (
     AttemptDependencies,
     Forwarder,
-    ForwarderParts,
+    ForwarderDependencies,
     OwnAnswer,
     RetryRule,
     RetryWindow,
@@ -261,7 +261,7 @@
             has_ended=self._ended_starts.__contains__,
         )
         return Forwarder(
-            ForwarderParts(
+            ForwarderDependencies(
                 chooser=self.chooser,
                 chance=random.Random(),
                 loads=self.loads,
