--- a/sparline/forwarding/__init__.py
+++ b/sparline/forwarding/__init__.py
@@ -8,7 +8,12 @@
     Progress,
 )
 from sparline.forwarding._events import EventSplitter
-from sparline.forwarding._forwarder import Forwarder, ForwarderDependencies, RequestEnd, may_move
+from sparline.forwarding._forwarder import (
+    Forwarder,
+    ForwarderDependencies,
+    RequestEnd,
+    may_send_elsewhere,
+)
 from sparline.forwarding._retry_window import RetryRule, RetryWindow
 from sparline.forwarding._wire import (
     AnswerKind,
@@ -35,5 +40,5 @@
     "RetryRule",
     "RetryWindow",
     "Wire",
-    "may_move",
+    "may_send_elsewhere",
 ]
--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -250,7 +250,7 @@
             raise _DeadlinePassed
         if not self._request.route.repeatable:
             return
-        if not self._tools.may_move(self._request, self._progress):
+        if not self._tools.may_send_elsewhere(self._request, self._progress):
             return
         if self._request.route.kind is RequestKind.STREAM:
             is_unresponsive = self._tools.health.is_dark(self._server_id)
--- a/sparline/forwarding/_attempt_types.py
+++ b/sparline/forwarding/_attempt_types.py
@@ -77,7 +77,9 @@
     note_leaving: Callable[[BackendServerId], None]  # marks a server as leaving
     pace: PaceTable  # typical response times
     watch: WatchTables  # timing statistics learned from streams
-    may_move: Callable[[RoutedRequest, Progress], bool]  # whether it may be sent elsewhere
+    may_send_elsewhere: Callable[
+        [RoutedRequest, Progress], bool
+    ]  # whether it may be sent elsewhere
     note_peer: Callable[[str, bool], None]  # records whether a peer was reachable
     note_round_trip: Callable[[RegionName, float], None]  # records a connection's opening time
     ends: ServerEnds  # detects whether servers have exited
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -365,7 +365,7 @@
         return RequestEnd(status, reason, ran, self.placement, self.refusal, self._progress)
 
 
-def may_move(request: RoutedRequest, progress: Progress) -> bool:
+def may_send_elsewhere(request: RoutedRequest, progress: Progress) -> bool:
     """Tell whether a request waiting for an unresponsive server may be sent elsewhere."""
     return (
         request.origin is Origin.CALLER
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -38,7 +38,7 @@
     OwnAnswer,
     RetryRule,
     RetryWindow,
-    may_move,
+    may_send_elsewhere,
 )
 from sparline.gateway._directory import Directory
 from sparline.gateway._leave_plan import NEEDED_UNTIL, LeavePlan
@@ -254,7 +254,7 @@
             note_leaving=self.fleet.note_leaving,
             pace=self.pace,
             watch=WatchTables(self.pace, self.pauses, self.loads, self.pause_watch.thawed_at_ms),
-            may_move=may_move,
+            may_send_elsewhere=may_send_elsewhere,
             note_peer=self.peers.note,
             note_round_trip=self.peers.note_round_trip,
             ends=self.ends,
