--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -76,7 +76,7 @@
         [RoutedRequest, Placement, InterruptedAttempt], None
     ]  # logs and counts a break
     crashes: CrashTable  # servers that exited while running requests
-    is_barred: Callable[[RoutedRequest], bool]  # whether its API key was withdrawn
+    is_key_withdrawn: Callable[[RoutedRequest], bool]  # whether its API key was withdrawn
     refusal_headers: Callable[[OwnAnswer], Headers]  # for responses generated here
 
 
@@ -136,7 +136,7 @@
 
     def run_to_end(self) -> RequestEnd:
         while True:
-            if self._parts.is_barred(self._request):
+            if self._parts.is_key_withdrawn(self._request):
                 return self._end_key_withdrawn()
             verdict = self._quarantine_verdict()
             if verdict is Verdict.QUARANTINED:
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -270,7 +270,9 @@
                 note_retry=self.request_log.note_retry,
                 note_broken=self.request_log.note_broken,
                 crashes=self.crashes,
-                is_barred=lambda request: is_withdrawn(self.fleet.configuration, request.caller),
+                is_key_withdrawn=lambda request: is_withdrawn(
+                    self.fleet.configuration, request.caller
+                ),
                 refusal_headers=headers,
             )
         )
