--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -133,7 +133,7 @@
             return ()
         address = self._placement.server.address
         found = self._tools.pool.resting(address, MAX_PROBE_CONNECTIONS)
-        if not found and terms.is_watched:
+        if not found and terms.is_monitored:
             # The new connection stays in the pool for later requests.
             self._tools.pool.probe(address, PROBE_CONNECT_TIMEOUT_MS / 1000)
             found = self._tools.pool.resting(address, MAX_PROBE_CONNECTIONS)
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -201,7 +201,7 @@
             resume_after=self._progress.splitter.last_id,
             sends_left=self._sends_left,
             source=place.source.address if place.source else None,
-            is_watched=self._has_unexplained_interruption(),
+            is_monitored=self._has_unexplained_interruption(),
         )
         attempt = Attempt(
             self._parts.tools, request, place, reservation, self._caller, self._progress
