--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -100,7 +100,9 @@
             return self._interrupted_end()
         except _ServerUnresponsive:
             self._tools.health.note_failure(self._server_id, "silent")
-            return AttemptEnd(AttemptResult.MAY_HAVE_RUN, Reason.BACKEND_SILENT, in_doubt=True)
+            return AttemptEnd(
+                AttemptResult.MAY_HAVE_RUN, Reason.BACKEND_SILENT, may_have_exited=True
+            )
         except _DeadlinePassed:
             return AttemptEnd(AttemptResult.MAY_HAVE_RUN, Reason.DEADLINE_PASSED)
         finally:
@@ -115,8 +117,10 @@
             return AttemptEnd(AttemptResult.MAY_HAVE_RUN, reason)
         ended = self._exited_incarnation()
         # An open port proves nothing: a supervisor or a restarted process may be listening there.
-        in_doubt = ended is None
-        return AttemptEnd(AttemptResult.MAY_HAVE_RUN, reason, ended_server=ended, in_doubt=in_doubt)
+        may_have_exited = ended is None
+        return AttemptEnd(
+            AttemptResult.MAY_HAVE_RUN, reason, ended_server=ended, may_have_exited=may_have_exited
+        )
 
     def _exited_incarnation(self) -> BackendServerId | None:
         """Return the server incarnation that has exited, or None without evidence of an exit."""
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -251,7 +251,7 @@
 
     def _note_crash(self, place: Placement, end: AttemptEnd) -> None:
         """Record a server exit during the request and stop retrying a suspected request."""
-        if end.in_doubt:
+        if end.may_have_exited:
             self._parts.tools.ends.wait_for_word(self._request_digest(), place.server.id)
         if end.ended_server is None:
             return
