--- a/sparline/forwarding/_attempt_types.py
+++ b/sparline/forwarding/_attempt_types.py
@@ -49,7 +49,7 @@
 
     splitter: EventSplitter  # event parser that tracks what the caller received
     sends: int = 0  # attempts sent by this instance
-    refused_sends: int = 0  # sent attempts proven not to have run
+    sends_not_run: int = 0  # sent attempts proven not to have run
     sent_at_ms: float = 0.0  # when the last attempt was sent
     may_have_run: bool = False  # whether any attempt may have run
     began: bool = False  # whether a response head was sent to the caller
@@ -61,7 +61,7 @@
 
     def runs(self) -> int:
         """Return the maximum number of times the request may have run."""
-        return self.sends - self.refused_sends
+        return self.sends - self.sends_not_run
 
 
 @dataclass(frozen=True, slots=True)
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -227,7 +227,7 @@
             if end.is_region_full:
                 self._note_region_full(place, end)
             if end.reason is not Reason.CONNECT_FAILED:
-                self._progress.refused_sends += 1
+                self._progress.sends_not_run += 1
             if self._progress.began:
                 # The stream may return to this server once it has capacity. Until then the health
                 # table excludes the server from selection.
