--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -372,9 +372,9 @@
     def _note_event(self) -> None:
         self._watch.note_event()
         now = now_ms()
-        if self._progress.heard_at_ms is not None:
-            pause_ms = now - self._progress.heard_at_ms
+        if self._progress.last_event_at_ms is not None:
+            pause_ms = now - self._progress.last_event_at_ms
             self._progress.longest_pause_ms = max(self._progress.longest_pause_ms, pause_ms)
-        self._progress.heard_at_ms = now
+        self._progress.last_event_at_ms = now
         if self._progress.first_at_ms is None:
             self._progress.first_at_ms = now
--- a/sparline/forwarding/_attempt_types.py
+++ b/sparline/forwarding/_attempt_types.py
@@ -54,7 +54,7 @@
     may_have_run: bool = False  # whether any attempt may have run
     began: bool = False  # whether a response head was sent to the caller
     first_at_ms: float | None = None  # when the first event or response arrived
-    heard_at_ms: float | None = None  # when the latest event arrived
+    last_event_at_ms: float | None = None  # when the latest event arrived
     longest_pause_ms: float = 0.0  # longest interval between two events
     failed_answer: tuple[HttpAnswer, bytes] | None = None  # server error response to forward
     excluded: set[str] = field(default_factory=set)  # backend servers that must not be tried again
--- a/sparline/forwarding/_resume_wait.py
+++ b/sparline/forwarding/_resume_wait.py
@@ -37,7 +37,9 @@
 
 
 def _pause_ms(request: RoutedRequest, progress: Progress) -> float:
-    pause_start_ms = request.arrived_at_ms if progress.heard_at_ms is None else progress.heard_at_ms
+    pause_start_ms = (
+        request.arrived_at_ms if progress.last_event_at_ms is None else progress.last_event_at_ms
+    )
     return now_ms() - pause_start_ms
 
 
--- a/sparline/forwarding/tests/test_resume_wait.py
+++ b/sparline/forwarding/tests/test_resume_wait.py
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize("row", ROWS, ids=[row[0] for row in ROWS])
 def test_interrupted_stream_waits_for_short_queue(row):
     _, began, ago_ms, queue_ms, waits = row
-    progress = Progress(EventSplitter(None), began=began, heard_at_ms=now_ms() - ago_ms)
+    progress = Progress(EventSplitter(None), began=began, last_event_at_ms=now_ms() - ago_ms)
     assert should_delay_resume(make_request(), progress, place(queue_ms)) is waits
 
 
