--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -67,7 +67,7 @@
     """Bundle the dependencies of a forwarder."""
 
     chooser: Chooser  # selects backend servers
-    chance: random.Random  # random number generator for jitter
+    rng: random.Random  # random number generator for jitter
     loads: LoadTable  # requests in flight by server
     retries: RetryWindow  # retry budget
     tools: AttemptDependencies  # dependencies of attempts
@@ -182,7 +182,7 @@
 
     def _sleep_with_jitter(self, usual_ms: float) -> None:
         """Sleep for a randomized delay before an interrupted stream is retried."""
-        gevent.sleep(usual_ms * self._parts.chance.uniform(*RESUME_JITTER_RANGE) / 1000)
+        gevent.sleep(usual_ms * self._parts.rng.uniform(*RESUME_JITTER_RANGE) / 1000)
 
     def _excluded(self) -> frozenset[BackendServerId]:
         return frozenset(BackendServerId(one) for one in self._progress.excluded)
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -263,7 +263,7 @@
         return Forwarder(
             ForwarderDependencies(
                 chooser=self.chooser,
-                chance=random.Random(),
+                rng=random.Random(),
                 loads=self.loads,
                 retries=self.retries,
                 tools=tools,
