--- a/sparline/limits/__init__.py
+++ b/sparline/limits/__init__.py
@@ -1,16 +1,16 @@
 """Rate limits of organisations, divided between instances without shared state."""
 
-from sparline.limits._bucket import Bucket
+from sparline.limits._bucket import TokenBucket
 from sparline.limits._enforcer import LimitEnforcer
 from sparline.limits._exchange import LimitExchange
 from sparline.limits._owner import LimitOwner, LimitTerms, Reported, View
 
 __all__ = [
-    "Bucket",
     "LimitEnforcer",
     "LimitExchange",
     "LimitOwner",
     "LimitTerms",
     "Reported",
+    "TokenBucket",
     "View",
 ]
--- a/sparline/limits/_bucket.py
+++ b/sparline/limits/_bucket.py
@@ -3,7 +3,7 @@
 from sparline._clock import now_ms
 
 
-class Bucket:
+class TokenBucket:
     """Admit requests at a rate, with bursts."""
 
     def __init__(self, rate_per_s: float, burst: float) -> None:
--- a/sparline/limits/_enforcer.py
+++ b/sparline/limits/_enforcer.py
@@ -4,7 +4,7 @@
 
 from sparline._clock import now_ms
 from sparline._ids import OrganisationId
-from sparline.limits._bucket import Bucket
+from sparline.limits._bucket import TokenBucket
 from sparline.schema._declarations import Organisation
 from sparline.schema._messages import Demand
 
@@ -17,7 +17,7 @@
 class _OrganisationState:
     """Hold the state of one organisation on this instance."""
 
-    bucket: Bucket  # enforces the share
+    bucket: TokenBucket  # enforces the share
     arrivals: int = 0  # requests since the last report
     demand_per_s: float = 0.0  # smoothed request rate, including rejected requests
     measured_at_ms: float = 0.0  # when demand was last measured
@@ -43,7 +43,7 @@
         state = self._states.get(OrganisationId(organisation.id))
         if state is None:
             share = organisation.requests_per_s / self.instances_in_fleet
-            bucket = Bucket(share, self._burst(organisation, share))
+            bucket = TokenBucket(share, self._burst(organisation, share))
             state = _OrganisationState(bucket, measured_at_ms=now_ms())
             self._states[OrganisationId(organisation.id)] = state
         return state
--- a/sparline/limits/tests/test_limits.py
+++ b/sparline/limits/tests/test_limits.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from sparline._ids import InstanceId, OrganisationId
-from sparline.limits import Bucket, LimitEnforcer, LimitOwner, LimitTerms, Reported, View
+from sparline.limits import LimitEnforcer, LimitOwner, LimitTerms, Reported, TokenBucket, View
 from sparline.limits import _bucket as bucket_module
 from sparline.schema._declarations import Organisation
 
@@ -73,7 +73,7 @@
 def test_bucket_admits_configured_rate(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = [0.0]
     monkeypatch.setattr(bucket_module, "now_ms", lambda: clock[0])
-    bucket = Bucket(10, 5)
+    bucket = TokenBucket(10, 5)
     assert sum(bucket.take() for _ in range(20)) == 5
     assert bucket.wait_ms() == pytest.approx(100)
     clock[0] += 1000
