--- a/sparline/limits/_exchange.py
+++ b/sparline/limits/_exchange.py
@@ -8,7 +8,7 @@
 from sparline._metrics import Metrics
 from sparline.declarations import Catalog
 from sparline.limits._enforcer import LimitEnforcer
-from sparline.limits._owner import LimitOwner, LimitTerms, Reported, View
+from sparline.limits._owner import LimitOwner, LimitTerms, RegionView, Reported
 from sparline.peers import Membership, Mesh, PeerLink, first
 from sparline.schema._messages import Demand, LimitReport, LimitShares, Share
 
@@ -100,7 +100,7 @@
             shares.append(Share(organisation, round(share, 3)))
         return shares
 
-    def _view(self, region: str) -> View:
+    def _view(self, region: str) -> RegionView:
         """Return whether the view of a region is complete.
 
         After a change of its live instances the view is partial until all had time to report.
@@ -111,7 +111,7 @@
             known = self._live_by_region[region] = _LiveInstances(live, now_ms())
         settled = now_ms() - known.changed_at_ms >= self._settle_ms
         whole = settled and self._membership.sees_whole_region(region)
-        return View.WHOLE if whole else View.PARTIAL
+        return RegionView.WHOLE if whole else RegionView.PARTIAL
 
     def take_shares(self, shares: LimitShares) -> None:
         """Enforce the shares granted by an owner."""
--- a/sparline/limits/_owner.py
+++ b/sparline/limits/_owner.py
@@ -19,7 +19,7 @@
 FLOOR_FRACTION = 0.05
 
 
-class View(Enum):
+class RegionView(Enum):
     """Enumerate how much of the home region an owner can see."""
 
     WHOLE = "whole"  # all live instances, unchanged for long enough
@@ -32,7 +32,7 @@
 
     limit_per_s: float  # from the current declaration file
     instances: int  # instances that may receive the organisation's requests
-    view: View  # how much of the home region the owner can see
+    view: RegionView  # how much of the home region the owner can see
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,7 +98,7 @@
 
     def _pool(self, limit: _OwnedLimit, terms: LimitTerms) -> float:
         whole = terms.limit_per_s * (1 - FLOOR_FRACTION)
-        if terms.view is View.WHOLE:
+        if terms.view is RegionView.WHOLE:
             limit.pool = None
             return whole
         if limit.pool is None:
--- a/sparline/limits/tests/test_limits.py
+++ b/sparline/limits/tests/test_limits.py
@@ -5,15 +5,15 @@
 from hypothesis import strategies as st
 
 from sparline._ids import InstanceId, OrganisationId
-from sparline.limits import LimitEnforcer, LimitOwner, LimitTerms, Reported, TokenBucket, View
+from sparline.limits import LimitEnforcer, LimitOwner, LimitTerms, RegionView, Reported, TokenBucket
 from sparline.limits import _bucket as bucket_module
 from sparline.schema._declarations import Organisation
 
 ORG = OrganisationId("o")
 LIMIT = 100.0
 A, B, C = (InstanceId(name) for name in "abc")
-WHOLE = LimitTerms(LIMIT, 3, View.WHOLE)
-PARTIAL = LimitTerms(LIMIT, 3, View.PARTIAL)
+WHOLE = LimitTerms(LIMIT, 3, RegionView.WHOLE)
+PARTIAL = LimitTerms(LIMIT, 3, RegionView.PARTIAL)
 
 
 def run_rounds(
