--- a/sparline/limits/__init__.py
+++ b/sparline/limits/__init__.py
@@ -3,14 +3,14 @@
 from sparline.limits._bucket import TokenBucket
 from sparline.limits._enforcer import LimitEnforcer
 from sparline.limits._exchange import LimitExchange
-from sparline.limits._owner import LimitOwner, LimitTerms, RegionView, Reported
+from sparline.limits._owner import DemandReport, LimitOwner, LimitTerms, RegionView
 
 __all__ = [
+    "DemandReport",
     "LimitEnforcer",
     "LimitExchange",
     "LimitOwner",
     "LimitTerms",
     "RegionView",
-    "Reported",
     "TokenBucket",
 ]
--- a/sparline/limits/_exchange.py
+++ b/sparline/limits/_exchange.py
@@ -8,7 +8,7 @@
 from sparline._metrics import Metrics
 from sparline.declarations import Catalog
 from sparline.limits._enforcer import LimitEnforcer
-from sparline.limits._owner import LimitOwner, LimitTerms, RegionView, Reported
+from sparline.limits._owner import DemandReport, LimitOwner, LimitTerms, RegionView
 from sparline.peers import Membership, Mesh, PeerLink, first
 from sparline.schema._messages import Demand, LimitReport, LimitShares, Share
 
@@ -94,7 +94,7 @@
                 continue
             view = self._view(declaration.home_region)
             terms = LimitTerms(declaration.requests_per_s, len(self.catalog.instances), view)
-            reported = Reported(demand.demand_per_s, demand.held_per_s)
+            reported = DemandReport(demand.demand_per_s, demand.held_per_s)
             share = self._owner.answer(organisation, reporter, reported, terms)
             self._metrics.limit_grants.labels(view.value).inc()
             shares.append(Share(organisation, round(share, 3)))
--- a/sparline/limits/_owner.py
+++ b/sparline/limits/_owner.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reported:
+class DemandReport:
     """Hold one instance's report on an organisation."""
 
     demand_per_s: float  # rate of arriving requests
@@ -71,7 +71,7 @@
         self,
         organisation: OrganisationId,
         reporter: InstanceId,
-        demand: Reported,
+        demand: DemandReport,
         terms: LimitTerms,
     ) -> float:
         """Process a report and return the reporter's share: the floor plus a part by demand.
--- a/sparline/limits/tests/test_limits.py
+++ b/sparline/limits/tests/test_limits.py
@@ -5,7 +5,14 @@
 from hypothesis import strategies as st
 
 from sparline._ids import InstanceId, OrganisationId
-from sparline.limits import LimitEnforcer, LimitOwner, LimitTerms, RegionView, Reported, TokenBucket
+from sparline.limits import (
+    DemandReport,
+    LimitEnforcer,
+    LimitOwner,
+    LimitTerms,
+    RegionView,
+    TokenBucket,
+)
 from sparline.limits import _bucket as bucket_module
 from sparline.schema._declarations import Organisation
 
@@ -26,7 +33,7 @@
     """Run several rounds of reports in which each instance applies its granted share."""
     for _ in range(count):
         for one in demand:
-            held[one] = owner.answer(ORG, one, Reported(demand[one], held[one]), terms)
+            held[one] = owner.answer(ORG, one, DemandReport(demand[one], held[one]), terms)
     return held
 
 
@@ -63,10 +70,10 @@
     held = dict.fromkeys((A, B, C), LIMIT / 3)
     # A view becomes whole only after every instance has reported.
     for one in held:
-        held[one] = owner.answer(ORG, one, Reported(0, held[one]), PARTIAL)
+        held[one] = owner.answer(ORG, one, DemandReport(0, held[one]), PARTIAL)
     for one, demand, whole in reports:
         terms = WHOLE if whole else PARTIAL
-        held[one] = owner.answer(ORG, one, Reported(demand, held[one]), terms)
+        held[one] = owner.answer(ORG, one, DemandReport(demand, held[one]), terms)
         assert sum(held.values()) <= LIMIT + 1e-6
 
 
