--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -59,7 +59,7 @@
 
 
 class _DeadlinePassed(Exception):
-    """Signal that the deadline passed while the process was suspended, so that no timer fired."""
+    """Signal that the deadline passed while the machine was suspended, so that no timer fired."""
 
 
 class Attempt:
--- a/sparline/forwarding/_attempt_types.py
+++ b/sparline/forwarding/_attempt_types.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InterruptedAttempt:
-    """Describe the end of an attempt that a backend server may have started to run."""
+    """Describe the end of an attempt whose request may have run."""
 
     end: AttemptEnd
     sent_ago_ms: float  # time since the request left this instance
@@ -79,7 +79,7 @@
     watch: WatchTables  # timing statistics learned from streams
     may_send_elsewhere: Callable[
         [RoutedRequest, Progress], bool
-    ]  # whether it may be sent elsewhere
+    ]  # whether a waiting request may be sent elsewhere
     note_peer: Callable[[str, bool], None]  # records whether a peer was reachable
     note_round_trip: Callable[[RegionName, float], None]  # records a connection's opening time
     ends: ServerEnds  # detects whether servers have exited
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -29,6 +29,7 @@
 MAX_NOT_RUN_ATTEMPTS = 3
 # With less time than this left, another attempt can't complete (ms).
 MIN_TIME_LEFT_MS = 10.0
+# Retry delay requested of the caller if no server has requested one (ms).
 DEFAULT_RETRY_AFTER_MS = 300.0
 # An interrupted stream polls for a less busy engine at the first interval, and retries at the
 # second one if no server accepted or could accept it (ms). Both are randomized by a factor from
@@ -36,9 +37,10 @@
 # lack of capacity does not abort it.
 RESUME_POLL_INTERVAL_MS = 40.0
 RESUME_RETRY_DELAY_MS = 150.0
+# Random factor applied to both delays.
 RESUME_JITTER_RANGE = (0.5, 1.5)
-# Maximum number of servers that one try of a suspected request may reach (count). A request is
-# suspected once several servers have exited while running it.
+# Maximum number of servers that may still run a suspected request (count). A request is suspected
+# once several servers have exited while running it.
 MAX_SUSPECT_SENDS = 1
 # Refusal reasons that apply to every server in the region.
 REGION_FULL_REASONS = (Reason.DEADLINE_UNREACHABLE, Reason.NO_BACKEND)
@@ -74,7 +76,7 @@
     note_retry: Callable[[RoutedRequest, Placement, AttemptEnd], None]  # logs and counts a retry
     note_broken: Callable[
         [RoutedRequest, Placement, InterruptedAttempt], None
-    ]  # logs and counts a break
+    ]  # logs and counts an interrupted attempt
     crashes: CrashTable  # servers that exited while running requests
     is_key_withdrawn: Callable[[RoutedRequest], bool]  # whether its API key was withdrawn
     refusal_headers: Callable[[OwnAnswer], Headers]  # for responses generated here
@@ -322,7 +324,7 @@
         return self._make_end(401, Reason.KEY_WITHDRAWN, ran=False)
 
     def _end_with_own_answer(self, reason: Reason, retry_after_ms: float) -> RequestEnd:
-        """End with a response generated here; never report as not run what may have run."""
+        """End with a response generated here, reporting "not run" only if that is certain."""
         if self._progress.began:
             return self._abort_answer(reason)
         ran = self._progress.may_have_run
--- a/sparline/forwarding/_resume_wait.py
+++ b/sparline/forwarding/_resume_wait.py
@@ -7,8 +7,8 @@
 from sparline.routes import Route
 
 # An interrupted stream resumes at once on an engine whose queue is shorter than this fraction of
-# the target latency. It is late already. Without the limit, all streams of an exited engine would
-# be processed ahead of requests that can still meet their target.
+# the target latency. An interrupted stream is already late. Without the limit, all streams of an
+# exited engine would be processed ahead of requests that can still meet their target.
 MAX_RESUME_QUEUE_FRACTION = 0.25
 # It waits for such an engine for this fraction of the pause after which its caller gives up.
 MAX_RESUME_WAIT_FRACTION = 0.5
--- a/sparline/forwarding/_retry_window.py
+++ b/sparline/forwarding/_retry_window.py
@@ -9,9 +9,9 @@
 
 # Fraction of the budget that is used; the rest absorbs instances that join late.
 BUDGET_FRACTION = 0.7
-# Limit on an instance's share of the slack while it may not know all other instances (count); after
-# BUDGET_FRACTION it allows one retry. Without it, instances that start together would each take
-# the whole slack.
+# Maximum share of the slack that an instance uses while it may not know all other instances
+# (count). Multiplied by BUDGET_FRACTION it allows one retry. Without this limit, instances that
+# start together would each use the whole slack.
 MAX_UNSETTLED_SLACK = 1.5
 
 
@@ -35,8 +35,8 @@
     ) -> None:
         """Limit retries by a rule.
 
-        `sharing` returns how many instances share the slack, `is_settled` whether these are likely
-        to be all of them.
+        `sharing` returns how many instances share the slack, and `is_settled` whether all
+        instances are likely to be among them.
         """
         self._rule = rule
         self._instance_count = sharing
--- a/sparline/forwarding/_wire.py
+++ b/sparline/forwarding/_wire.py
@@ -41,7 +41,7 @@
     retry_after_ms: float = 0.0  # requested retry delay if it has not run
     sent: bool = False  # whether it was sent to any backend server
     ended_server: BackendServerId | None = None  # server that exited while running it
-    quarantined: bool = False  # whether it is rejected as servers exited running it
+    quarantined: bool = False  # whether it is rejected because servers exited running it
     is_region_full: bool = False  # no server in this region has capacity
 
 
--- a/sparline/limits/_enforcer.py
+++ b/sparline/limits/_enforcer.py
@@ -10,6 +10,7 @@
 
 # An organisation's share is released after this long without requests (ms).
 IDLE_TIMEOUT_MS = 10_000.0
+# Weight of the latest measurement in the exponentially smoothed demand (0 to 1).
 DEMAND_SMOOTHING = 0.5
 
 
--- a/sparline/limits/_exchange.py
+++ b/sparline/limits/_exchange.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _LiveInstances:
-    """Record the live instances of a region and when this set last changed."""
+    """Record the live instances of a region."""
 
     live: frozenset[InstanceId]
     changed_at_ms: float  # when the set last changed
@@ -37,7 +37,11 @@
         metrics: Metrics,
         settle_ms: float,
     ) -> None:
-        """Start without owned limits."""
+        """Start without owned limits.
+
+        `settle_ms` is how long the live instances of a region must stay unchanged before its view
+        counts as whole.
+        """
         self.catalog = Catalog()  # replaced when the declaration files change
         self._enforcer = enforcer
         self._membership = membership
@@ -103,7 +107,8 @@
     def _view(self, region: str) -> RegionView:
         """Return whether the view of a region is complete.
 
-        After a change of its live instances the view is partial until all had time to report.
+        After a change of the live instances, the view stays partial until all of them have had
+        time to report.
         """
         live = frozenset(self._membership.live_in_region(region))
         known = self._live_by_region.get(region)
--- a/sparline/orders/_plan.py
+++ b/sparline/orders/_plan.py
@@ -26,7 +26,7 @@
     what: str  # model as name@version, or adapter as name+adapter
     weights: str  # name in the weight store, empty for an unload
     replaces: tuple[str, ...]  # older versions to unload for it
-    fence: int  # newest revision of the declaration files it is derived from
+    fence: int  # fencing token: newest declaration file revision it derives from
     target: TargetName  # model that it concerns
 
 
--- a/sparline/orders/_runner.py
+++ b/sparline/orders/_runner.py
@@ -19,6 +19,7 @@
 from sparline.routing import BackendState, LoadTable, SummaryTable
 from sparline.schema._declarations import OrderCheck
 
+# Timeout for an engine's response to an order (ms).
 ORDER_TIMEOUT_MS = 120_000.0
 READ_TIMEOUT_MS = 1_000.0
 # Maximum wait, per preceding zone, before a zone takes its last loaded replica out of service (ms).
@@ -28,12 +29,12 @@
 class OrderResult(Enum):
     """Enumerate the results of an order."""
 
-    DONE = "done"
-    STALE_FENCE = "stale_fence"
+    DONE = "done"  # confirmed by the engine
+    STALE_FENCE = "stale_fence"  # rejected by the engine, which has seen a newer fence
     FAILED = "failed"
-    NOT_OWNER = "not_owner"
-    NOT_NEEDED = "not_needed"
-    HELD_BACK = "held_back"
+    NOT_OWNER = "not_owner"  # not the owner, or not for long enough
+    NOT_NEEDED = "not_needed"  # no longer wanted when it was about to be sent
+    HELD_BACK = "held_back"  # would take the last loaded replica out of service
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +81,7 @@
         return results
 
     def _update_ownership(self) -> None:
-        # During a pause another instance may have been the owner without this one noticing.
+        # While this instance was paused, another one may have become the owner unnoticed.
         paused = now_ms() - self._last_active_ms > self._hooks.takeover_ms / 2
         self._last_active_ms = now_ms()
         if not self._membership.has_zone_duty("orders"):
--- a/sparline/orders/tests/test_orders.py
+++ b/sparline/orders/tests/test_orders.py
@@ -1,4 +1,7 @@
-"""Tests that engines reach their declared state despite late, duplicate and unowned orders."""
+"""Tests of engines reaching their declared state.
+
+Late or duplicate orders must not prevent it, and only the zone's owner may send orders.
+"""
 
 from collections.abc import Iterator
 from dataclasses import replace
