--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        tools: AttemptDependencies,
+        dependencies: AttemptDependencies,
         request: RoutedRequest,
         placement: Placement,
         reservation: Reservation,
@@ -75,39 +75,39 @@
         progress: Progress,
     ) -> None:
         """Prepare the attempt without sending anything."""
-        self._tools = tools
+        self._dependencies = dependencies
         self._request = request
         self._placement = placement
         self._caller = caller
         self._progress = progress
         self._answer_received = False
         self._probe_connections: tuple[BackendConnection, ...] = ()
-        self._watch = StreamWatch(tools.watch, request, placement, reservation)
+        self._watch = StreamWatch(dependencies.watch, request, placement, reservation)
         self._server_id = placement.server.id
 
-    def run(self, terms: AttemptParameters) -> AttemptEnd:
+    def run(self, parameters: AttemptParameters) -> AttemptEnd:
         """Send the request and forward the response; close the connection after any failure."""
         connection = self._connect()
         if connection is None:
             self._note_unreachable()
             return AttemptEnd(AttemptResult.NOT_RUN, Reason.CONNECT_FAILED)
-        self._probe_connections = self._find_probe_connections(terms)
-        self._tools.health.note_sent(self._server_id)
+        self._probe_connections = self._find_probe_connections(parameters)
+        self._dependencies.health.note_sent(self._server_id)
         try:
-            return self._exchange(connection, terms)
+            return self._exchange(connection, parameters)
         except ConnectionBroken:
             self._note_interruption()
             return self._interrupted_end()
         except _ServerUnresponsive:
-            self._tools.health.note_failure(self._server_id, "silent")
+            self._dependencies.health.note_failure(self._server_id, "silent")
             return AttemptEnd(
                 AttemptResult.MAY_HAVE_RUN, Reason.BACKEND_SILENT, may_have_exited=True
             )
         except _DeadlinePassed:
             return AttemptEnd(AttemptResult.MAY_HAVE_RUN, Reason.DEADLINE_PASSED)
         finally:
-            self._tools.health.note_done(self._server_id)
-            self._tools.pool.give_back(connection)
+            self._dependencies.health.note_done(self._server_id)
+            self._dependencies.pool.give_back(connection)
 
     def _interrupted_end(self) -> AttemptEnd:
         """Return the end of an interrupted response and whether its server process has exited."""
@@ -124,23 +124,25 @@
 
     def _exited_incarnation(self) -> BackendServerId | None:
         """Return the server incarnation that has exited, or None without evidence of an exit."""
-        if self._tools.has_ended(self._server_id):
+        if self._dependencies.has_ended(self._server_id):
             return self._server_id
         address = self._placement.server.address
-        if self._tools.ends.reach(self._server_id, address) is Reach.REFUSED:
+        if self._dependencies.ends.reach(self._server_id, address) is Reach.REFUSED:
             return self._server_id
-        return self._tools.ends.witnessed_end(self._server_id, self._probe_connections)
+        return self._dependencies.ends.witnessed_end(self._server_id, self._probe_connections)
 
-    def _find_probe_connections(self, terms: AttemptParameters) -> tuple[BackendConnection, ...]:
+    def _find_probe_connections(
+        self, parameters: AttemptParameters
+    ) -> tuple[BackendConnection, ...]:
         """Return other connections to the server, opening one if the request is monitored."""
         if self._placement.peer is not None:
             return ()
         address = self._placement.server.address
-        found = self._tools.pool.resting(address, MAX_PROBE_CONNECTIONS)
-        if not found and terms.is_monitored:
+        found = self._dependencies.pool.resting(address, MAX_PROBE_CONNECTIONS)
+        if not found and parameters.is_monitored:
             # The new connection stays in the pool for later requests.
-            self._tools.pool.probe(address, PROBE_CONNECT_TIMEOUT_MS / 1000)
-            found = self._tools.pool.resting(address, MAX_PROBE_CONNECTIONS)
+            self._dependencies.pool.probe(address, PROBE_CONNECT_TIMEOUT_MS / 1000)
+            found = self._dependencies.pool.resting(address, MAX_PROBE_CONNECTIONS)
         return found
 
     def _interruption_reason(self) -> Reason:
@@ -152,27 +154,27 @@
         peer = self._placement.peer
         address = self._placement.server.address
         if peer is not None:
-            address = (peer.note.ip, self._tools.peer_port)
-        idle_connection = self._tools.pool.kept(address)
+            address = (peer.note.ip, self._dependencies.peer_port)
+        idle_connection = self._dependencies.pool.kept(address)
         if idle_connection is not None:
             return idle_connection
         limit_ms = BACKEND_CONNECT_TIMEOUT_MS if peer is None else PEER_CONNECT_TIMEOUT_MS
         timeout_s = min(limit_ms, max(self._request.left_ms(), 1.0)) / 1000
         started_at_ms = now_ms()
         try:
-            connection = self._tools.pool.open(address, timeout_s)
+            connection = self._dependencies.pool.open(address, timeout_s)
         except OSError:
             # run() records the server or peer as unreachable.
             return None
         if peer is not None:
-            self._tools.note_round_trip(peer.region, now_ms() - started_at_ms)
+            self._dependencies.note_round_trip(peer.region, now_ms() - started_at_ms)
         return connection
 
     def _note_unreachable(self) -> None:
         if self._placement.peer is not None:
-            self._tools.note_peer(self._placement.peer.note.ip, False)
+            self._dependencies.note_peer(self._placement.peer.note.ip, False)
         else:
-            self._tools.health.note_unreachable(self._server_id)
+            self._dependencies.health.note_unreachable(self._server_id)
 
     def _note_interruption(self) -> None:
         """Record the failure, against a peer only if it sent no response.
@@ -180,14 +182,14 @@
         A peer also cuts a response short when its own backend server does.
         """
         if self._placement.peer is not None and not self._answer_received:
-            self._tools.note_peer(self._placement.peer.note.ip, False)
+            self._dependencies.note_peer(self._placement.peer.note.ip, False)
         else:
-            self._tools.health.note_failure(self._server_id, "broken")
+            self._dependencies.health.note_failure(self._server_id, "broken")
 
-    def _exchange(self, connection: BackendConnection, terms: AttemptParameters) -> AttemptEnd:
+    def _exchange(self, connection: BackendConnection, parameters: AttemptParameters) -> AttemptEnd:
         answered = False
         try:
-            head = self._request_head(terms)
+            head = self._request_head(parameters)
             self._progress.sends += 1
             self._progress.splitter.begin_attempt()
             self._progress.sent_at_ms = now_ms()
@@ -207,30 +209,34 @@
                 # Closing the connection makes the server abort any remaining work.
                 connection.close()
 
-    def _request_head(self, terms: AttemptParameters) -> bytes:
-        return self._wire().send_head(self._request, terms)
+    def _request_head(self, parameters: AttemptParameters) -> bytes:
+        return self._wire().send_head(self._request, parameters)
 
     def _wire(self) -> Wire:
-        return self._tools.backend_wire if self._placement.peer is None else self._tools.peer_wire
+        return (
+            self._dependencies.backend_wire
+            if self._placement.peer is None
+            else self._dependencies.peer_wire
+        )
 
     def _is_answer_to_request(self, answer: HttpAnswer) -> bool:
         return self._wire().belongs(self._request.request_id, answer)
 
     def _interpret(self, answer: HttpAnswer) -> AnswerMeaning:
         self._answer_received = True
-        self._tools.health.note_heard(self._server_id)
+        self._dependencies.health.note_heard(self._server_id)
         meaning = self._wire().meaning(answer)
         if self._placement.peer is not None:
-            self._tools.note_peer(self._placement.peer.note.ip, True)
+            self._dependencies.note_peer(self._placement.peer.note.ip, True)
         elif meaning.kind in SERVER_ANSWER_KINDS:
             self._note_server_state(meaning)
         return meaning
 
     def _note_server_state(self, meaning: AnswerMeaning) -> None:
         """Record the rate limit and leaving state reported by a server's response."""
-        self._tools.server_limits.note_answer(self._server_id, meaning.limit_per_s)
+        self._dependencies.server_limits.note_answer(self._server_id, meaning.limit_per_s)
         if meaning.is_leaving:
-            self._tools.note_leaving(self._server_id)
+            self._dependencies.note_leaving(self._server_id)
 
     def _read_with_liveness_checks(self, read: Callable[[], ReadResult]) -> ReadResult:
         """Retry the read until it returns, checking at intervals that the server is still alive."""
@@ -247,19 +253,19 @@
 
     def _check_liveness(self, waited_ms: float) -> None:
         """Raise if the server has exited, or is unresponsive and the request can be moved."""
-        if self._placement.peer is None and self._tools.has_ended(self._server_id):
+        if self._placement.peer is None and self._dependencies.has_ended(self._server_id):
             raise ConnectionBroken("the backend server restarted and lost this request")
         if self._request.left_ms() <= 0:
             # Timers stop while the machine is suspended, but the clock does not.
             raise _DeadlinePassed
         if not self._request.route.repeatable:
             return
-        if not self._tools.may_send_elsewhere(self._request, self._progress):
+        if not self._dependencies.may_send_elsewhere(self._request, self._progress):
             return
         if self._request.route.kind is RequestKind.STREAM:
-            is_unresponsive = self._tools.health.is_dark(self._server_id)
+            is_unresponsive = self._dependencies.health.is_dark(self._server_id)
         else:
-            typical_ms = self._tools.pace.answer_ms(self._request.service)
+            typical_ms = self._dependencies.pace.answer_ms(self._request.service)
             is_unresponsive = waited_ms > PLAIN_ANSWER_TIMEOUT_FACTOR * typical_ms
         if is_unresponsive:
             raise _ServerUnresponsive
@@ -271,17 +277,17 @@
         via_peer = self._placement.peer is not None
         match meaning.kind:
             case AnswerKind.MISDIRECTED:
-                self._tools.health.note_misdirected(self._server_id)
+                self._dependencies.health.note_misdirected(self._server_id)
                 return AttemptEnd(AttemptResult.NOT_RUN, Reason.MISDIRECTED)
             case AnswerKind.NOT_RUN:
                 # The Retry-After of a peer gateway does not apply to the backend server.
                 server_retry_after_ms = 0.0 if via_peer else meaning.retry_after_ms
-                self._tools.health.note_full(self._server_id, server_retry_after_ms)
+                self._dependencies.health.note_full(self._server_id, server_retry_after_ms)
                 reason = Reason.PEER_NOT_RUN if via_peer else Reason.BACKEND_REFUSED
                 return AttemptEnd(AttemptResult.NOT_RUN, reason, meaning.retry_after_ms)
             case AnswerKind.NOT_SENT:
                 if not meaning.is_region_full:
-                    self._tools.health.note_full(self._server_id)
+                    self._dependencies.health.note_full(self._server_id)
                 return AttemptEnd(
                     AttemptResult.NOT_RUN,
                     Reason.PEER_NO_ROOM,
@@ -292,7 +298,9 @@
                 return AttemptEnd(AttemptResult.NOT_RUN, Reason.QUARANTINED)
             case AnswerKind.TIMED_OUT:
                 return AttemptEnd(AttemptResult.MAY_HAVE_RUN, Reason.DEADLINE_PASSED)
-        self._tools.health.note_failure(self._server_id, "unknown" if via_peer else "unsigned")
+        self._dependencies.health.note_failure(
+            self._server_id, "unknown" if via_peer else "unsigned"
+        )
         return AttemptEnd(
             AttemptResult.MAY_HAVE_RUN,
             self._interruption_reason(),
@@ -316,7 +324,7 @@
                 return self._forward_unbuffered(connection, answer, bytes(body))
         elapsed_ms = now_ms() - self._progress.sent_at_ms
         if answer.status >= MIN_SERVER_ERROR_STATUS:
-            self._tools.health.note_failure(self._server_id, "failed")
+            self._dependencies.health.note_failure(self._server_id, "failed")
             self._progress.failed_answer = (answer, bytes(body))
             return AttemptEnd(AttemptResult.FAILED_ANSWER, Reason.BACKEND_FAILED)
         self._note_plain_success(elapsed_ms)
@@ -336,13 +344,13 @@
         return AttemptEnd(AttemptResult.DELIVERED, Reason.NONE)
 
     def _note_plain_success(self, elapsed_ms: float) -> None:
-        self._tools.health.note_success(self._server_id)
-        was_suspended = self._tools.watch.thawed_at_ms() > self._progress.sent_at_ms
+        self._dependencies.health.note_success(self._server_id)
+        was_suspended = self._dependencies.watch.thawed_at_ms() > self._progress.sent_at_ms
         if self._placement.peer is not None or was_suspended:
             return
-        typical_ms = self._tools.pace.answer_ms(self._request.service)
-        self._tools.health.note_pace(self._server_id, elapsed_ms, typical_ms)
-        self._tools.pace.note_answer(self._request.service, elapsed_ms)
+        typical_ms = self._dependencies.pace.answer_ms(self._request.service)
+        self._dependencies.health.note_pace(self._server_id, elapsed_ms, typical_ms)
+        self._dependencies.pace.note_answer(self._request.service, elapsed_ms)
 
     def _begin_answer(self, answer: HttpAnswer) -> None:
         if self._progress.began:
@@ -354,7 +362,7 @@
         while (
             piece := self._read_with_liveness_checks(lambda: connection.read_piece(answer))
         ) is not None:
-            self._tools.health.note_event(self._server_id)
+            self._dependencies.health.note_event(self._server_id)
             complete_events = self._progress.splitter.feed(piece)
             if self._progress.splitter.pending_bytes() > MAX_EVENT_BYTES:
                 raise ConnectionBroken(f"server-sent event exceeds {MAX_EVENT_BYTES} bytes")
@@ -365,7 +373,7 @@
         self._begin_answer(answer)
         self._caller.send(self._progress.splitter.rest())
         self._caller.finish()
-        self._tools.health.note_success(self._server_id)
+        self._dependencies.health.note_success(self._server_id)
         self._watch.note_end()
         return AttemptEnd(AttemptResult.DELIVERED, Reason.NONE)
 
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -31,11 +31,11 @@
 MIN_TIME_LEFT_MS = 10.0
 # Retry delay requested of the caller if no server has requested one (ms).
 DEFAULT_RETRY_AFTER_MS = 300.0
-# An interrupted stream polls for a less busy engine at the first interval, and retries at the
-# second one if no server accepted or could accept it (ms). Both are randomized by a factor from
-# RESUME_JITTER_RANGE. The stream retries until its caller is expected to give up, so that a short
-# lack of capacity does not abort it.
+# Interval at which an interrupted stream looks for a server with a shorter queue (ms).
 RESUME_POLL_INTERVAL_MS = 40.0
+# Delay before an interrupted stream is retried after no server could be selected, or the selected
+# one did not run it (ms). It is retried until its caller is expected to give up, so that a short
+# lack of capacity does not abort it.
 RESUME_RETRY_DELAY_MS = 150.0
 # Random factor applied to both delays.
 RESUME_JITTER_RANGE = (0.5, 1.5)
@@ -85,20 +85,20 @@
 class Forwarder:
     """Forward requests and end each of them exactly once."""
 
-    def __init__(self, parts: ForwarderDependencies) -> None:
+    def __init__(self, dependencies: ForwarderDependencies) -> None:
         """Use the dependencies of one instance."""
-        self._parts = parts
+        self._dependencies = dependencies
 
     def forward(
         self, request: RoutedRequest, caller: CallerConnection, sends_left: int
     ) -> RequestEnd:
         """Respond to a request; at most `sends_left` backend servers may run it."""
         progress = Progress(EventSplitter(request.resume_after))
-        self._parts.retries.note_request(request.service)
+        self._dependencies.retries.note_request(request.service)
         handler = gevent.getcurrent()
         caller.watch(lambda: handler.kill(CallerGone, block=False))
         limit = gevent.Timeout(max(request.left_ms(), 1.0) / 1000)
-        run = _RequestRun(self._parts, request, caller, sends_left, progress)
+        run = _RequestRun(self._dependencies, request, caller, sends_left, progress)
         try:
             with limit:
                 return run.run_to_end()
@@ -118,13 +118,13 @@
 
     def __init__(
         self,
-        parts: ForwarderDependencies,
+        dependencies: ForwarderDependencies,
         request: RoutedRequest,
         caller: CallerConnection,
         sends_left: int,
         progress: Progress,
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._request = request
         self._caller = caller
         self._sends_left = sends_left
@@ -138,7 +138,7 @@
 
     def run_to_end(self) -> RequestEnd:
         while True:
-            if self._parts.is_key_withdrawn(self._request):
+            if self._dependencies.is_key_withdrawn(self._request):
                 return self._end_key_withdrawn()
             verdict = self._quarantine_verdict()
             if verdict is Verdict.QUARANTINED:
@@ -146,29 +146,29 @@
             is_suspect = verdict is Verdict.SUSPECT
             if is_suspect:
                 self._sends_left = min(self._sends_left, MAX_SUSPECT_SENDS)
-            place = self._parts.chooser.choose(
+            selected = self._dependencies.chooser.choose(
                 self._request, self._excluded(), self._progress.began, is_suspect
             )
-            if isinstance(place, Refusal):
-                self.refusal = place
+            if isinstance(selected, Refusal):
+                self.refusal = selected
                 if not is_caller_waiting(self._request, self._progress):
-                    return self._end_unplaced(place)
+                    return self._end_unplaced(selected)
                 self._sleep_with_jitter(RESUME_RETRY_DELAY_MS)
                 continue
-            if should_delay_resume(self._request, self._progress, place):
+            if should_delay_resume(self._request, self._progress, selected):
                 self._sleep_with_jitter(RESUME_POLL_INTERVAL_MS)
                 continue
-            self.placement = place
-            end = self._attempt(place)
+            self.placement = selected
+            end = self._attempt(selected)
             if end.result is AttemptResult.DELIVERED:
-                self._parts.crashes.note_whole(self._request_digest())
+                self._dependencies.crashes.note_whole(self._request_digest())
                 return self._make_end(200, Reason.NONE)
             if end.reason is Reason.QUARANTINED:
                 return self._end_quarantined()
-            stop = self._stop_reason(place, end)
+            stop = self._stop_reason(selected, end)
             if stop is not None:
                 return self._end_failed(stop, end)
-            self._parts.note_retry(self._request, place, end)
+            self._dependencies.note_retry(self._request, selected, end)
             if end.result is AttemptResult.NOT_RUN and self._progress.began:
                 self._sleep_with_jitter(RESUME_RETRY_DELAY_MS)
 
@@ -178,41 +178,43 @@
         return self._digest
 
     def _quarantine_verdict(self) -> Verdict:
-        """Return the quarantine verdict; compute the digest only if any crash is recorded."""
-        crashes = self._parts.crashes
+        """Return the quarantine verdict, computing the digest only if any crash is recorded."""
+        crashes = self._dependencies.crashes
         return Verdict.CLEAR if crashes.is_empty else crashes.verdict(self._request_digest())
 
-    def _sleep_with_jitter(self, usual_ms: float) -> None:
+    def _sleep_with_jitter(self, delay_ms: float) -> None:
         """Sleep for a randomized delay before an interrupted stream is retried."""
-        gevent.sleep(usual_ms * self._parts.rng.uniform(*RESUME_JITTER_RANGE) / 1000)
+        gevent.sleep(delay_ms * self._dependencies.rng.uniform(*RESUME_JITTER_RANGE) / 1000)
 
     def _excluded(self) -> frozenset[BackendServerId]:
         return frozenset(BackendServerId(one) for one in self._progress.excluded)
 
-    def _attempt(self, place: Placement) -> AttemptEnd:
+    def _attempt(self, placement: Placement) -> AttemptEnd:
         request = self._request
         assert request.route.repeatable or not self._progress.may_have_run, (
             f"request {request.request_id} is not repeatable and may already have run"
         )
-        held = request.prompt.held_tokens if request.prompt else 0
-        reservation = self._parts.loads.reserve(place.server, held, place.effort_tokens)
-        self._parts.chooser.note_sent(request, place)
-        terms = AttemptParameters(
-            server_id=place.server.id,
+        reserved_tokens = request.prompt.held_tokens if request.prompt else 0
+        reservation = self._dependencies.loads.reserve(
+            placement.server, reserved_tokens, placement.effort_tokens
+        )
+        self._dependencies.chooser.note_sent(request, placement)
+        parameters = AttemptParameters(
+            server_id=placement.server.id,
             left_ms=request.left_ms(),
             resume_after=self._progress.splitter.last_id,
             sends_left=self._sends_left,
-            source=place.source.address if place.source else None,
+            source=placement.source.address if placement.source else None,
             is_monitored=self._has_unexplained_interruption(),
         )
         attempt = Attempt(
-            self._parts.tools, request, place, reservation, self._caller, self._progress
+            self._dependencies.tools, request, placement, reservation, self._caller, self._progress
         )
         try:
-            end = attempt.run(terms)
+            end = attempt.run(parameters)
         finally:
             reservation.release()
-        self._note_end(place, end)
+        self._note_end(placement, end)
         return end
 
     def _has_unexplained_interruption(self) -> bool:
@@ -220,14 +222,14 @@
 
         The digest is computed only if any such interruption is recorded.
         """
-        ends = self._parts.tools.ends
+        ends = self._dependencies.tools.ends
         return ends.has_doubts and ends.is_doubted(self._request_digest())
 
-    def _note_end(self, place: Placement, end: AttemptEnd) -> None:
+    def _note_end(self, placement: Placement, end: AttemptEnd) -> None:
         if end.result is AttemptResult.NOT_RUN:
             self._not_run_count += 1
             if end.is_region_full:
-                self._note_region_full(place, end)
+                self._note_region_full(placement, end)
             if end.reason is not Reason.CONNECT_FAILED:
                 self._progress.sends_not_run += 1
             if self._progress.began:
@@ -237,44 +239,44 @@
         elif end.result is not AttemptResult.DELIVERED:
             self._progress.may_have_run = True
             self._sends_left -= 1
-        self._progress.excluded.add(place.server.id)
-        self._note_crash(place, end)
+        self._progress.excluded.add(placement.server.id)
+        self._note_crash(placement, end)
         if end.result is AttemptResult.MAY_HAVE_RUN:
             sent_ago_ms = now_ms() - self._progress.sent_at_ms
-            sent = InterruptedAttempt(end, sent_ago_ms, self._progress.began)
-            self._parts.note_broken(self._request, place, sent)
+            interrupted = InterruptedAttempt(end, sent_ago_ms, self._progress.began)
+            self._dependencies.note_broken(self._request, placement, interrupted)
 
-    def _note_region_full(self, place: Placement, end: AttemptEnd) -> None:
+    def _note_region_full(self, placement: Placement, end: AttemptEnd) -> None:
         """Exclude the whole region, since every instance in it would refuse the request."""
-        ids = self._parts.chooser.note_region_full(self._request, place)
+        ids = self._dependencies.chooser.note_region_full(self._request, placement)
         if not self._progress.began:
             self._progress.excluded.update(ids)
             self._region_full_end = end
 
-    def _note_crash(self, place: Placement, end: AttemptEnd) -> None:
+    def _note_crash(self, placement: Placement, end: AttemptEnd) -> None:
         """Record a server exit during the request and stop retrying a suspected request."""
         if end.may_have_exited:
-            self._parts.tools.ends.wait_for_word(self._request_digest(), place.server.id)
+            self._dependencies.tools.ends.wait_for_word(self._request_digest(), placement.server.id)
         if end.ended_server is None:
             return
         self._ended_server = end.ended_server
-        learnt = Learnt.HERE if place.peer is None else Learnt.PEER
-        self._parts.crashes.note_end(self._request_digest(), end.ended_server, learnt)
+        learnt = Learnt.HERE if placement.peer is None else Learnt.PEER
+        self._dependencies.crashes.note_end(self._request_digest(), end.ended_server, learnt)
         if self._quarantine_verdict() is not Verdict.CLEAR:
             self._sends_left = 0
 
-    def _stop_reason(self, place: Placement, end: AttemptEnd) -> Reason | None:
+    def _stop_reason(self, placement: Placement, end: AttemptEnd) -> Reason | None:
         """Return the reason to stop retrying, or None to retry."""
         reached_a_server = end.reason not in (Reason.CONNECT_FAILED, Reason.PEER_NO_ROOM)
         if end.result is AttemptResult.NOT_RUN:
-            waits = not reached_a_server and is_caller_waiting(self._request, self._progress)
-            if self._not_run_count >= MAX_NOT_RUN_ATTEMPTS and not waits:
+            may_wait = not reached_a_server and is_caller_waiting(self._request, self._progress)
+            if self._not_run_count >= MAX_NOT_RUN_ATTEMPTS and not may_wait:
                 return end.reason
         elif not self.may_repeat():
             return end.reason
         if self._request.left_ms() < MIN_TIME_LEFT_MS:
             return Reason.DEADLINE_PASSED
-        if reached_a_server and not self._parts.retries.spend(self._request.service):
+        if reached_a_server and not self._dependencies.retries.spend(self._request.service):
             return Reason.RETRY_BUDGET
         return None
 
@@ -308,7 +310,7 @@
         """Reject a quarantined request that servers have run and must not run again."""
         if self._progress.began:
             return self._abort_answer(Reason.QUARANTINED)
-        headers = self._parts.refusal_headers(OwnAnswer(ran=True, quarantined=True))
+        headers = self._dependencies.refusal_headers(OwnAnswer(ran=True, quarantined=True))
         self._caller.answer(502, [*headers, TEXT_CONTENT_TYPE], QUARANTINED_BODY)
         return self._make_end(502, Reason.QUARANTINED)
 
@@ -335,9 +337,9 @@
 
     def end_timed_out(self) -> RequestEnd:
         """End a request whose time limit has expired."""
-        in_time = now_ms() - self._request.arrived_at_ms
-        route_timeout = in_time >= self._request.route.timeout_ms - MIN_TIME_LEFT_MS
-        reason = Reason.ROUTE_TIMEOUT if route_timeout else Reason.DEADLINE_PASSED
+        elapsed_ms = now_ms() - self._request.arrived_at_ms
+        is_route_timeout = elapsed_ms >= self._request.route.timeout_ms - MIN_TIME_LEFT_MS
+        reason = Reason.ROUTE_TIMEOUT if is_route_timeout else Reason.DEADLINE_PASSED
         if self._progress.began or self._caller.started:
             return self._abort_answer(reason)
         ran = self._progress.sends > 0
@@ -354,7 +356,7 @@
             self._ended_server,
             is_region_full=not sent and reason in REGION_FULL_REASONS,
         )
-        headers = self._parts.refusal_headers(own_answer)
+        headers = self._dependencies.refusal_headers(own_answer)
         self._caller.answer(status, headers, b"")
         return self._make_end(status, reason, ran)
 
--- a/sparline/forwarding/_resume_wait.py
+++ b/sparline/forwarding/_resume_wait.py
@@ -19,11 +19,11 @@
 PATIENCE_PAUSE_FACTOR = 8.0
 
 
-def should_delay_resume(request: RoutedRequest, progress: Progress, place: Placement) -> bool:
+def should_delay_resume(request: RoutedRequest, progress: Progress, placement: Placement) -> bool:
     """Tell whether an interrupted stream should wait instead of resuming on the selected server."""
     if not progress.began and request.resume_after is None:
         return False
-    queue_ms = place.expected_ms - place.reading_ms
+    queue_ms = placement.expected_ms - placement.reading_ms
     if queue_ms <= MAX_RESUME_QUEUE_FRACTION * request.route.wanted_latency_ms:
         return False
     return _pause_ms(request, progress) < MAX_RESUME_WAIT_FRACTION * caller_patience_ms(
--- a/sparline/forwarding/_retry_window.py
+++ b/sparline/forwarding/_retry_window.py
@@ -30,16 +30,16 @@
     def __init__(
         self,
         rule: RetryRule,
-        sharing: Callable[[], int],
+        instance_count: Callable[[], int],
         is_settled: Callable[[], bool] = lambda: True,
     ) -> None:
         """Limit retries by a rule.
 
-        `sharing` returns how many instances share the slack, and `is_settled` whether all
+        `instance_count` returns how many instances share the slack, and `is_settled` whether all
         instances are likely to be among them.
         """
         self._rule = rule
-        self._instance_count = sharing
+        self._instance_count = instance_count
         self._is_settled = is_settled
         self._request_times: dict[ServiceName, deque[float]] = {}
         self._retry_times: dict[ServiceName, deque[float]] = {}
@@ -51,8 +51,10 @@
     def spend(self, service: ServiceName) -> bool:
         """Use up one retry; return False if the budget is exhausted."""
         retry_times = self._times_in_window(self._retry_times, service)
-        earned = self._rule.ratio * len(self._times_in_window(self._request_times, service))
-        if len(retry_times) + 1 > BUDGET_FRACTION * (earned + self._slack()):
+        request_allowance = self._rule.ratio * len(
+            self._times_in_window(self._request_times, service)
+        )
+        if len(retry_times) + 1 > BUDGET_FRACTION * (request_allowance + self._slack()):
             return False
         retry_times.append(now_ms())
         return True
--- a/sparline/forwarding/tests/test_resume_wait.py
+++ b/sparline/forwarding/tests/test_resume_wait.py
@@ -10,7 +10,7 @@
 from sparline.tests.routed import make_request, make_route, make_server
 
 
-def place(queue_ms: float) -> Placement:
+def make_placement(queue_ms: float) -> Placement:
     return Placement(
         server=make_server(BackendServerId("e1")),
         peer=None,
@@ -40,14 +40,14 @@
 def test_interrupted_stream_waits_for_short_queue(row):
     _, began, ago_ms, queue_ms, waits = row
     progress = Progress(EventSplitter(None), began=began, last_event_at_ms=now_ms() - ago_ms)
-    assert should_delay_resume(make_request(), progress, place(queue_ms)) is waits
+    assert should_delay_resume(make_request(), progress, make_placement(queue_ms)) is waits
 
 
 def test_stream_resumed_by_caller_waits_from_arrival():
     progress = Progress(EventSplitter(3))
-    assert should_delay_resume(make_request(resume_after=3), progress, place(500.0))
+    assert should_delay_resume(make_request(resume_after=3), progress, make_placement(500.0))
     old = make_request(resume_after=3, arrived_at_ms=now_ms() - 1_700.0)
-    assert not should_delay_resume(old, progress, place(500.0))
+    assert not should_delay_resume(old, progress, make_placement(500.0))
 
 
 PATIENCE = [
--- a/sparline/limits/_exchange.py
+++ b/sparline/limits/_exchange.py
@@ -54,7 +54,7 @@
     def report(self) -> None:
         """Report demand to the owner of each active organisation's limit."""
         for region in self.catalog.regions():
-            self._view(region)
+            self._region_view(region)
         self._enforcer.instances_in_fleet = max(len(self.catalog.instances), 1)
         self._owner.drop(
             {one for one in self._owner.owned() if self._owner_of(one) != self._membership.self_id}
@@ -96,7 +96,7 @@
             declaration = self.catalog.organisations.get(organisation)
             if declaration is None:
                 continue
-            view = self._view(declaration.home_region)
+            view = self._region_view(declaration.home_region)
             terms = LimitTerms(declaration.requests_per_s, len(self.catalog.instances), view)
             reported = DemandReport(demand.demand_per_s, demand.held_per_s)
             share = self._owner.answer(organisation, reporter, reported, terms)
@@ -104,8 +104,8 @@
             shares.append(Share(organisation, round(share, 3)))
         return shares
 
-    def _view(self, region: str) -> RegionView:
-        """Return whether the view of a region is complete.
+    def _region_view(self, region: str) -> RegionView:
+        """Return how much of a region this instance can see.
 
         After a change of the live instances, the view stays partial until all of them have had
         time to report.
@@ -114,9 +114,9 @@
         known = self._live_by_region.get(region)
         if known is None or known.live != live:
             known = self._live_by_region[region] = _LiveInstances(live, now_ms())
-        settled = now_ms() - known.changed_at_ms >= self._settle_ms
-        whole = settled and self._membership.sees_whole_region(region)
-        return RegionView.WHOLE if whole else RegionView.PARTIAL
+        is_settled = now_ms() - known.changed_at_ms >= self._settle_ms
+        is_whole = is_settled and self._membership.sees_whole_region(region)
+        return RegionView.WHOLE if is_whole else RegionView.PARTIAL
 
     def take_shares(self, shares: LimitShares) -> None:
         """Enforce the shares granted by an owner."""
--- a/sparline/limits/_owner.py
+++ b/sparline/limits/_owner.py
@@ -97,13 +97,13 @@
         return floor + granted
 
     def _pool(self, limit: _OwnedLimit, terms: LimitTerms) -> float:
-        whole = terms.limit_per_s * (1 - FLOOR_FRACTION)
+        whole_view_pool = terms.limit_per_s * (1 - FLOOR_FRACTION)
         if terms.view is RegionView.WHOLE:
             limit.pool = None
-            return whole
+            return whole_view_pool
         if limit.pool is None:
             limit.pool = sum(one.above_floor_per_s for one in limit.reports.values())
-        return min(limit.pool, whole)
+        return min(limit.pool, whole_view_pool)
 
     def _expire_reports(self, limit: _OwnedLimit) -> None:
         oldest_ms = now_ms() - REPORT_TTL_MS
--- a/sparline/orders/_runner.py
+++ b/sparline/orders/_runner.py
@@ -154,7 +154,9 @@
                 return OrderResult.DONE
             case Ok((409, content)):
                 log.warning(
-                    "orders: {} has a newer fence: {}", order.backend_server, _fence(content)
+                    "orders: {} has a newer fence: {}",
+                    order.backend_server,
+                    _reported_fence(content),
                 )
                 return OrderResult.STALE_FENCE
             case Ok(_) | Err(_):
@@ -162,7 +164,7 @@
         return OrderResult.FAILED
 
 
-def _fence(content: bytes) -> object:
+def _reported_fence(content: bytes) -> object:
     try:
         return msgspec.json.decode(content).get("fence")
     except (msgspec.DecodeError, AttributeError):
--- a/sparline/orders/tests/test_orders.py
+++ b/sparline/orders/tests/test_orders.py
@@ -54,7 +54,7 @@
         gevent.sleep(0.002)
 
 
-def test_version_change_keeps_a_warm_replica(fleet: LocalFleet) -> None:
+def test_version_change_keeps_a_loaded_replica(fleet: LocalFleet) -> None:
     min_loaded = [len(fleet.engines)]
     watcher = gevent.spawn(record_min_loaded, fleet, min_loaded)
     publish_version(fleet, "v2")
