--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -72,7 +72,7 @@
     rng: random.Random  # random number generator for jitter
     loads: LoadTable  # requests in flight by server
     retries: RetryWindow  # retry budget
-    tools: AttemptDependencies  # dependencies of attempts
+    attempt_dependencies: AttemptDependencies  # dependencies of attempts
     note_retry: Callable[[RoutedRequest, Placement, AttemptEnd], None]  # logs and counts a retry
     note_broken: Callable[
         [RoutedRequest, Placement, InterruptedAttempt], None
@@ -208,7 +208,12 @@
             is_monitored=self._has_unexplained_interruption(),
         )
         attempt = Attempt(
-            self._dependencies.tools, request, placement, reservation, self._caller, self._progress
+            self._dependencies.attempt_dependencies,
+            request,
+            placement,
+            reservation,
+            self._caller,
+            self._progress,
         )
         try:
             end = attempt.run(parameters)
@@ -222,7 +227,7 @@
 
         The digest is computed only if any such interruption is recorded.
         """
-        ends = self._dependencies.tools.ends
+        ends = self._dependencies.attempt_dependencies.ends
         return ends.has_doubts and ends.is_doubted(self._request_digest())
 
     def _note_end(self, placement: Placement, end: AttemptEnd) -> None:
@@ -256,7 +261,9 @@
     def _note_crash(self, placement: Placement, end: AttemptEnd) -> None:
         """Record a server exit during the request and stop retrying a suspected request."""
         if end.may_have_exited:
-            self._dependencies.tools.ends.wait_for_word(self._request_digest(), placement.server.id)
+            self._dependencies.attempt_dependencies.ends.wait_for_word(
+                self._request_digest(), placement.server.id
+            )
         if end.ended_server is None:
             return
         self._ended_server = end.ended_server
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -266,7 +266,7 @@
                 rng=random.Random(),
                 loads=self.loads,
                 retries=self.retries,
-                tools=tools,
+                attempt_dependencies=tools,
                 note_retry=self.request_log.note_retry,
                 note_broken=self.request_log.note_broken,
                 crashes=self.crashes,
