--- a/sparline/forwarding/__init__.py
+++ b/sparline/forwarding/__init__.py
@@ -1,39 +1,44 @@
-"""Forwarding: attempts, repeats, resumed streams, relays, and one end for each request."""
+"""Request forwarding: attempts, retries, stream resumption and relaying through peers."""
 
 from sparline.forwarding._attempt_types import (
+    AttemptDependencies,
     AttemptEnd,
     AttemptResult,
-    AttemptTools,
+    InterruptedAttempt,
     Progress,
-    SentEnd,
 )
-from sparline.forwarding._events import EventCutter
-from sparline.forwarding._forwarder import Forwarder, ForwarderParts, RequestEnd, may_move
+from sparline.forwarding._events import EventSplitter
+from sparline.forwarding._forwarder import (
+    Forwarder,
+    ForwarderDependencies,
+    RequestEnd,
+    may_send_elsewhere,
+)
 from sparline.forwarding._retry_window import RetryRule, RetryWindow
 from sparline.forwarding._wire import (
     AnswerKind,
     AnswerMeaning,
+    AttemptParameters,
     OwnAnswer,
-    SendTerms,
     Wire,
 )
 
 __all__ = [
     "AnswerKind",
     "AnswerMeaning",
+    "AttemptDependencies",
     "AttemptEnd",
+    "AttemptParameters",
     "AttemptResult",
-    "AttemptTools",
-    "EventCutter",
+    "EventSplitter",
     "Forwarder",
-    "ForwarderParts",
+    "ForwarderDependencies",
+    "InterruptedAttempt",
     "OwnAnswer",
     "Progress",
     "RequestEnd",
     "RetryRule",
     "RetryWindow",
-    "SendTerms",
-    "SentEnd",
     "Wire",
-    "may_move",
+    "may_send_elsewhere",
 ]
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -1,4 +1,4 @@
-"""The way of one request: place it, send it, try again where that is harmless, end it."""
+"""Lifecycle of a forwarded request: server selection, attempts, safe retries, final response."""
 
 import random
 from collections.abc import Callable
@@ -10,39 +10,43 @@
 from sparline._ids import BackendServerId
 from sparline.forwarding._attempt import Attempt
 from sparline.forwarding._attempt_types import (
+    AttemptDependencies,
     AttemptEnd,
     AttemptResult,
-    AttemptTools,
+    InterruptedAttempt,
     Progress,
-    SentEnd,
 )
-from sparline.forwarding._events import EventCutter
-from sparline.forwarding._resume_wait import is_awaited, resumes_later
+from sparline.forwarding._events import EventSplitter
+from sparline.forwarding._resume_wait import is_caller_waiting, should_delay_resume
 from sparline.forwarding._retry_window import RetryWindow
-from sparline.forwarding._wire import OwnAnswer, SendTerms
+from sparline.forwarding._wire import AttemptParameters, OwnAnswer
 from sparline.http import CallerConnection, CallerGone, Headers, end_to_end
 from sparline.placement import Chooser, LoadTable, Placement, Refusal
 from sparline.quarantine import CrashTable, Learnt, RequestDigest, Verdict
 from sparline.requests import Origin, Reason, RoutedRequest
 
-# Sends that were proved not to have run are repeated at most so often (count).
-MOST_NOT_RUN = 3
-# Less than this is left: nothing useful can be done any more (ms).
-LEAST_LEFT_MS = 10.0
-RETRY_AFTER_DEFAULT_MS = 300.0
-# A stream that waits for a less busy engine looks for one so often (ms), within a factor, and one
-# that nothing took or could take tries again so often: until its caller leaves, so that a
-# short wait for room does not cut it.
-RESUME_STEP_MS = 40.0
-NOT_RUN_REST_MS = 150.0
-RESUME_SPREAD = (0.5, 1.5)
-# A try of a request under which servers have ended one after the other may reach so many (count).
-SUSPECT_SENDS = 1
-# Refusals that hold whichever server of the region is asked.
-NO_ROOM = (Reason.DEADLINE_UNREACHABLE, Reason.NO_BACKEND)
-WITHDRAWN_TEXT = b"Authorization: expected a key in force, found one that was just withdrawn\n"
-TEXT_TYPE = (b"Content-Type", b"text/plain; charset=utf-8")
-QUARANTINED_TEXT = (
+# A request is given up after this many attempts that are proven not to have run (count).
+MAX_NOT_RUN_ATTEMPTS = 3
+# With less time than this left, another attempt can't complete (ms).
+MIN_TIME_LEFT_MS = 10.0
+# Retry delay requested of the caller if no server has requested one (ms).
+DEFAULT_RETRY_AFTER_MS = 300.0
+# Interval at which an interrupted stream looks for a server with a shorter queue (ms).
+RESUME_POLL_INTERVAL_MS = 40.0
+# Delay before an interrupted stream is retried after no server could be selected, or the selected
+# one did not run it (ms). It is retried until its caller is expected to give up, so that a short
+# lack of capacity does not abort it.
+RESUME_RETRY_DELAY_MS = 150.0
+# Random factor applied to both delays.
+RESUME_JITTER_RANGE = (0.5, 1.5)
+# Maximum number of servers that may still run a suspected request (count). A request is suspected
+# once several servers have exited while running it.
+MAX_SUSPECT_SENDS = 1
+# Refusal reasons that apply to every server in the region.
+REGION_FULL_REASONS = (Reason.DEADLINE_UNREACHABLE, Reason.NO_BACKEND)
+WITHDRAWN_KEY_BODY = b"Authorization: expected a key in force, found one that was just withdrawn\n"
+TEXT_CONTENT_TYPE = (b"Content-Type", b"text/plain; charset=utf-8")
+QUARANTINED_BODY = (
     b"expected a backend server to answer this request, found that each one that ran it ended; "
     b"it is not sent again for some minutes\n"
 )
@@ -50,56 +54,58 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEnd:
-    """Hold what became of a request, for the log and the counters."""
+    """Describe the outcome of a request for the log and metrics."""
 
-    status: int  # status that the caller got, 0 for none
-    reason: Reason  # why it is not a whole answer of a backend server
+    status: int  # status that the caller received, 0 if none or aborted
+    reason: Reason  # why it did not get a complete backend response
     ran: bool  # whether it may have run
-    placement: Placement | None  # last place
-    refusal: Refusal | None  # why there was no (further) place, None where there was one
-    progress: Progress  # what the attempts left
+    placement: Placement | None  # last selected server
+    refusal: Refusal | None  # why no server could be selected, if so
+    progress: Progress  # state shared by the attempts
 
 
 @dataclass(frozen=True, slots=True)
-class ForwarderParts:
-    """Hold what a forwarder works with."""
-
-    chooser: Chooser  # where requests go
-    chance: random.Random  # spreads what waits
-    loads: LoadTable  # counts of requests at servers
-    retries: RetryWindow  # budget for repeats
-    tools: AttemptTools  # connections and protocols
-    note_retry: Callable[[RoutedRequest, Placement, AttemptEnd], None]  # counters and log
-    note_broken: Callable[[RoutedRequest, Placement, SentEnd], None]  # counters and log
-    crashes: CrashTable  # servers that ended under requests
-    is_barred: Callable[[RoutedRequest], bool]  # whether its key was withdrawn since it came
-    refusal_headers: Callable[[OwnAnswer], Headers]  # for answers of this instance's own
+class ForwarderDependencies:
+    """Bundle the dependencies of a forwarder."""
+
+    chooser: Chooser  # selects backend servers
+    rng: random.Random  # random number generator for jitter
+    loads: LoadTable  # requests in flight by server
+    retries: RetryWindow  # retry budget
+    attempt_dependencies: AttemptDependencies  # dependencies of attempts
+    note_retry: Callable[[RoutedRequest, Placement, AttemptEnd], None]  # logs and counts a retry
+    note_broken: Callable[
+        [RoutedRequest, Placement, InterruptedAttempt], None
+    ]  # logs and counts an interrupted attempt
+    crashes: CrashTable  # servers that exited while running requests
+    is_key_withdrawn: Callable[[RoutedRequest], bool]  # whether its API key was withdrawn
+    refusal_headers: Callable[[OwnAnswer], Headers]  # for responses generated here
 
 
 class Forwarder:
-    """Forward requests; each gets exactly one end."""
+    """Forward requests and end each of them exactly once."""
 
-    def __init__(self, parts: ForwarderParts) -> None:
-        """Forward with the parts of one instance."""
-        self._parts = parts
+    def __init__(self, dependencies: ForwarderDependencies) -> None:
+        """Use the dependencies of one instance."""
+        self._dependencies = dependencies
 
     def forward(
         self, request: RoutedRequest, caller: CallerConnection, sends_left: int
     ) -> RequestEnd:
-        """Answer a request; `sends_left` bounds the backend servers that may run it."""
-        progress = Progress(EventCutter(request.resume_after))
-        self._parts.retries.note_request(request.service)
+        """Respond to a request; at most `sends_left` backend servers may run it."""
+        progress = Progress(EventSplitter(request.resume_after))
+        self._dependencies.retries.note_request(request.service)
         handler = gevent.getcurrent()
         caller.watch(lambda: handler.kill(CallerGone, block=False))
         limit = gevent.Timeout(max(request.left_ms(), 1.0) / 1000)
-        run = _Run(self._parts, request, caller, sends_left, progress)
+        run = _RequestRun(self._dependencies, request, caller, sends_left, progress)
         try:
             with limit:
-                return run.to_end()
+                return run.run_to_end()
         except gevent.Timeout as timeout:
             if timeout is not limit:
                 raise
-            return run.end_late()
+            return run.end_timed_out()
         except CallerGone:
             caller.closing = True
             return RequestEnd(0, Reason.CALLER_GONE, True, run.placement, run.refusal, progress)
@@ -107,254 +113,271 @@
             caller.unwatch()
 
 
-class _Run:
-    """Hold one request while it is forwarded."""
+class _RequestRun:
+    """Hold the state of one request while it is forwarded."""
 
     def __init__(
         self,
-        parts: ForwarderParts,
+        dependencies: ForwarderDependencies,
         request: RoutedRequest,
         caller: CallerConnection,
         sends_left: int,
         progress: Progress,
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._request = request
         self._caller = caller
         self._sends_left = sends_left
-        self._not_run = 0
+        self._not_run_count = 0
         self._progress = progress
         self._digest: RequestDigest | None = None
         self._ended_server: BackendServerId | None = None
-        self._full_end: AttemptEnd | None = None  # a region's word that it has no room
+        self._region_full_end: AttemptEnd | None = None  # last refusal by a region without capacity
         self.placement: Placement | None = None
         self.refusal: Refusal | None = None
 
-    def to_end(self) -> RequestEnd:
+    def run_to_end(self) -> RequestEnd:
         while True:
-            if self._parts.is_barred(self._request):
-                return self._end_barred()
-            verdict = self._verdict()
+            if self._dependencies.is_key_withdrawn(self._request):
+                return self._end_key_withdrawn()
+            verdict = self._quarantine_verdict()
             if verdict is Verdict.QUARANTINED:
                 return self._end_quarantined()
             is_suspect = verdict is Verdict.SUSPECT
             if is_suspect:
-                self._sends_left = min(self._sends_left, SUSPECT_SENDS)
-            place = self._parts.chooser.choose(
+                self._sends_left = min(self._sends_left, MAX_SUSPECT_SENDS)
+            selected = self._dependencies.chooser.choose(
                 self._request, self._excluded(), self._progress.began, is_suspect
             )
-            if isinstance(place, Refusal):
-                self.refusal = place
-                if not is_awaited(self._request, self._progress):
-                    return self._end_unplaced(place)
-                self._rest(NOT_RUN_REST_MS)
+            if isinstance(selected, Refusal):
+                self.refusal = selected
+                if not is_caller_waiting(self._request, self._progress):
+                    return self._end_unplaced(selected)
+                self._sleep_with_jitter(RESUME_RETRY_DELAY_MS)
                 continue
-            if resumes_later(self._request, self._progress, place):
-                self._rest(RESUME_STEP_MS)
+            if should_delay_resume(self._request, self._progress, selected):
+                self._sleep_with_jitter(RESUME_POLL_INTERVAL_MS)
                 continue
-            self.placement = place
-            end = self._attempt(place)
+            self.placement = selected
+            end = self._attempt(selected)
             if end.result is AttemptResult.DELIVERED:
-                self._parts.crashes.note_whole(self._own_digest())
-                return self._ended(200, Reason.NONE)
+                self._dependencies.crashes.note_whole(self._request_digest())
+                return self._make_end(200, Reason.NONE)
             if end.reason is Reason.QUARANTINED:
                 return self._end_quarantined()
-            stop = self._why_stop(place, end)
+            stop = self._stop_reason(selected, end)
             if stop is not None:
                 return self._end_failed(stop, end)
-            self._parts.note_retry(self._request, place, end)
+            self._dependencies.note_retry(self._request, selected, end)
             if end.result is AttemptResult.NOT_RUN and self._progress.began:
-                self._rest(NOT_RUN_REST_MS)
+                self._sleep_with_jitter(RESUME_RETRY_DELAY_MS)
 
-    def _own_digest(self) -> RequestDigest:
+    def _request_digest(self) -> RequestDigest:
         if self._digest is None:
             self._digest = self._request.digest()
         return self._digest
 
-    def _verdict(self) -> Verdict:
-        """Return what may be done with the request; its digest is worked out only if it matters."""
-        crashes = self._parts.crashes
-        return Verdict.CLEAR if crashes.is_empty else crashes.verdict(self._own_digest())
+    def _quarantine_verdict(self) -> Verdict:
+        """Return the quarantine verdict, computing the digest only if any crash is recorded."""
+        crashes = self._dependencies.crashes
+        return Verdict.CLEAR if crashes.is_empty else crashes.verdict(self._request_digest())
 
-    def _rest(self, usual_ms: float) -> None:
-        """Let a stream that broke off wait for a moment."""
-        gevent.sleep(usual_ms * self._parts.chance.uniform(*RESUME_SPREAD) / 1000)
+    def _sleep_with_jitter(self, delay_ms: float) -> None:
+        """Sleep for a randomized delay before an interrupted stream is retried."""
+        gevent.sleep(delay_ms * self._dependencies.rng.uniform(*RESUME_JITTER_RANGE) / 1000)
 
     def _excluded(self) -> frozenset[BackendServerId]:
         return frozenset(BackendServerId(one) for one in self._progress.excluded)
 
-    def _attempt(self, place: Placement) -> AttemptEnd:
+    def _attempt(self, placement: Placement) -> AttemptEnd:
         request = self._request
         assert request.route.repeatable or not self._progress.may_have_run, (
-            f"request {request.request_id} may not be repeated and may have run"
+            f"request {request.request_id} is not repeatable and may already have run"
+        )
+        reserved_tokens = request.prompt.held_tokens if request.prompt else 0
+        reservation = self._dependencies.loads.reserve(
+            placement.server, reserved_tokens, placement.effort_tokens
         )
-        held = request.prompt.held_tokens if request.prompt else 0
-        reservation = self._parts.loads.reserve(place.server, held, place.effort_tokens)
-        self._parts.chooser.note_sent(request, place)
-        terms = SendTerms(
-            server_id=place.server.id,
+        self._dependencies.chooser.note_sent(request, placement)
+        parameters = AttemptParameters(
+            server_id=placement.server.id,
             left_ms=request.left_ms(),
-            resume_after=self._progress.cutter.last_id,
+            resume_after=self._progress.splitter.last_id,
             sends_left=self._sends_left,
-            source=place.source.address if place.source else None,
-            is_watched=self._is_doubted(),
+            source=placement.source.address if placement.source else None,
+            is_monitored=self._has_unexplained_interruption(),
         )
         attempt = Attempt(
-            self._parts.tools, request, place, reservation, self._caller, self._progress
+            self._dependencies.attempt_dependencies,
+            request,
+            placement,
+            reservation,
+            self._caller,
+            self._progress,
         )
         try:
-            end = attempt.run(terms)
+            end = attempt.run(parameters)
         finally:
             reservation.release()
-        self._note_end(place, end)
+        self._note_end(placement, end)
         return end
 
-    def _is_doubted(self) -> bool:
-        """Tell whether the request broke off before; its digest is worked out only if it matters."""
-        ends = self._parts.tools.ends
-        return ends.has_doubts and ends.is_doubted(self._own_digest())
+    def _has_unexplained_interruption(self) -> bool:
+        """Tell whether the request had a recent unexplained interruption.
+
+        The digest is computed only if any such interruption is recorded.
+        """
+        ends = self._dependencies.attempt_dependencies.ends
+        return ends.has_doubts and ends.is_doubted(self._request_digest())
 
-    def _note_end(self, place: Placement, end: AttemptEnd) -> None:
+    def _note_end(self, placement: Placement, end: AttemptEnd) -> None:
         if end.result is AttemptResult.NOT_RUN:
-            self._not_run += 1
+            self._not_run_count += 1
             if end.is_region_full:
-                self._note_region_full(place, end)
+                self._note_region_full(placement, end)
             if end.reason is not Reason.CONNECT_FAILED:
-                self._progress.refused_sends += 1
+                self._progress.sends_not_run += 1
             if self._progress.began:
-                # It may go there once there is room; health passes the server over meanwhile.
+                # The stream may return to this server once it has capacity. Until then the health
+                # table excludes the server from selection.
                 return
         elif end.result is not AttemptResult.DELIVERED:
             self._progress.may_have_run = True
             self._sends_left -= 1
-        self._progress.excluded.add(place.server.id)
-        self._note_crash(place, end)
+        self._progress.excluded.add(placement.server.id)
+        self._note_crash(placement, end)
         if end.result is AttemptResult.MAY_HAVE_RUN:
             sent_ago_ms = now_ms() - self._progress.sent_at_ms
-            sent = SentEnd(end, sent_ago_ms, self._progress.began)
-            self._parts.note_broken(self._request, place, sent)
+            interrupted = InterruptedAttempt(end, sent_ago_ms, self._progress.began)
+            self._dependencies.note_broken(self._request, placement, interrupted)
 
-    def _note_region_full(self, place: Placement, end: AttemptEnd) -> None:
-        """Leave the whole region of a place alone: any instance there would say the same."""
-        ids = self._parts.chooser.note_region_full(self._request, place)
+    def _note_region_full(self, placement: Placement, end: AttemptEnd) -> None:
+        """Exclude the whole region, since every instance in it would refuse the request."""
+        ids = self._dependencies.chooser.note_region_full(self._request, placement)
         if not self._progress.began:
             self._progress.excluded.update(ids)
-            self._full_end = end
+            self._region_full_end = end
 
-    def _note_crash(self, place: Placement, end: AttemptEnd) -> None:
-        """Note a server that ended with the request, and repeat a suspect no more."""
-        if end.in_doubt:
-            self._parts.tools.ends.wait_for_word(self._own_digest(), place.server.id)
+    def _note_crash(self, placement: Placement, end: AttemptEnd) -> None:
+        """Record a server exit during the request and stop retrying a suspected request."""
+        if end.may_have_exited:
+            self._dependencies.attempt_dependencies.ends.wait_for_word(
+                self._request_digest(), placement.server.id
+            )
         if end.ended_server is None:
             return
         self._ended_server = end.ended_server
-        learnt = Learnt.HERE if place.peer is None else Learnt.PEER
-        self._parts.crashes.note_end(self._own_digest(), end.ended_server, learnt)
-        if self._verdict() is not Verdict.CLEAR:
+        learnt = Learnt.HERE if placement.peer is None else Learnt.PEER
+        self._dependencies.crashes.note_end(self._request_digest(), end.ended_server, learnt)
+        if self._quarantine_verdict() is not Verdict.CLEAR:
             self._sends_left = 0
 
-    def _why_stop(self, place: Placement, end: AttemptEnd) -> Reason | None:
-        """Return why there is no further try, None if there is one."""
+    def _stop_reason(self, placement: Placement, end: AttemptEnd) -> Reason | None:
+        """Return the reason to stop retrying, or None to retry."""
         reached_a_server = end.reason not in (Reason.CONNECT_FAILED, Reason.PEER_NO_ROOM)
         if end.result is AttemptResult.NOT_RUN:
-            waits = not reached_a_server and is_awaited(self._request, self._progress)
-            if self._not_run >= MOST_NOT_RUN and not waits:
+            may_wait = not reached_a_server and is_caller_waiting(self._request, self._progress)
+            if self._not_run_count >= MAX_NOT_RUN_ATTEMPTS and not may_wait:
                 return end.reason
         elif not self.may_repeat():
             return end.reason
-        if self._request.left_ms() < LEAST_LEFT_MS:
+        if self._request.left_ms() < MIN_TIME_LEFT_MS:
             return Reason.DEADLINE_PASSED
-        if reached_a_server and not self._parts.retries.spend(self._request.service):
+        if reached_a_server and not self._dependencies.retries.spend(self._request.service):
             return Reason.RETRY_BUDGET
         return None
 
     def may_repeat(self) -> bool:
-        """Tell whether a second run is harmless and allowed."""
+        """Tell whether the request is repeatable and has attempts left."""
         return self._request.route.repeatable and self._sends_left > 0
 
     def _end_unplaced(self, refusal: Refusal) -> RequestEnd:
         if self._progress.failed_answer is not None and not self._progress.began:
-            return self._pass_failure_on()
-        if self._full_end is not None and refusal.reason is Reason.NO_BACKEND:
-            # There are servers: a full region tells its callers when to come back.
-            return self._end_own(self._full_end.reason, self._full_end.retry_after_ms)
-        return self._end_own(refusal.reason, refusal.retry_after_ms)
+            return self._forward_server_error()
+        if self._region_full_end is not None and refusal.reason is Reason.NO_BACKEND:
+            # Servers exist but have no capacity, so the full region's Retry-After applies.
+            return self._end_with_own_answer(
+                self._region_full_end.reason, self._region_full_end.retry_after_ms
+            )
+        return self._end_with_own_answer(refusal.reason, refusal.retry_after_ms)
 
     def _end_failed(self, stop: Reason, end: AttemptEnd) -> RequestEnd:
         if self._progress.failed_answer is not None and not self._progress.began:
-            return self._pass_failure_on()
-        return self._end_own(stop, end.retry_after_ms or RETRY_AFTER_DEFAULT_MS)
+            return self._forward_server_error()
+        return self._end_with_own_answer(stop, end.retry_after_ms or DEFAULT_RETRY_AFTER_MS)
 
-    def _pass_failure_on(self) -> RequestEnd:
-        """Give the caller the backend server's own failure."""
+    def _forward_server_error(self) -> RequestEnd:
+        """Forward the backend server's own error response to the caller."""
         assert self._progress.failed_answer is not None
         answer, body = self._progress.failed_answer
         self._caller.answer(answer.status, end_to_end(answer.headers), body)
-        return self._ended(answer.status, Reason.BACKEND_FAILED)
+        return self._make_end(answer.status, Reason.BACKEND_FAILED)
 
     def _end_quarantined(self) -> RequestEnd:
-        """Tell a caller that the request is not sent on; servers ran it, and may not again."""
+        """Reject a quarantined request that servers have run and must not run again."""
         if self._progress.began:
-            return self._cut(Reason.QUARANTINED)
-        headers = self._parts.refusal_headers(OwnAnswer(ran=True, quarantined=True))
-        self._caller.answer(502, [*headers, TEXT_TYPE], QUARANTINED_TEXT)
-        return self._ended(502, Reason.QUARANTINED)
+            return self._abort_answer(Reason.QUARANTINED)
+        headers = self._dependencies.refusal_headers(OwnAnswer(ran=True, quarantined=True))
+        self._caller.answer(502, [*headers, TEXT_CONTENT_TYPE], QUARANTINED_BODY)
+        return self._make_end(502, Reason.QUARANTINED)
 
-    def _end_barred(self) -> RequestEnd:
-        """Send the request of a key that was withdrawn nowhere (again)."""
+    def _end_key_withdrawn(self) -> RequestEnd:
+        """End a request whose API key was withdrawn without sending it again."""
         if self._progress.began:
-            return self._cut(Reason.KEY_WITHDRAWN)
+            return self._abort_answer(Reason.KEY_WITHDRAWN)
         if self._progress.may_have_run or self._request.origin is Origin.RELAY:
-            return self._end_own(Reason.KEY_WITHDRAWN, RETRY_AFTER_DEFAULT_MS)
-        self._caller.answer(401, [(b"WWW-Authenticate", b"Bearer"), TEXT_TYPE], WITHDRAWN_TEXT)
-        return self._ended(401, Reason.KEY_WITHDRAWN, ran=False)
+            return self._end_with_own_answer(Reason.KEY_WITHDRAWN, DEFAULT_RETRY_AFTER_MS)
+        self._caller.answer(
+            401, [(b"WWW-Authenticate", b"Bearer"), TEXT_CONTENT_TYPE], WITHDRAWN_KEY_BODY
+        )
+        return self._make_end(401, Reason.KEY_WITHDRAWN, ran=False)
 
-    def _end_own(self, reason: Reason, retry_after_ms: float) -> RequestEnd:
-        """End with an answer of this instance; never call not run what may have run."""
+    def _end_with_own_answer(self, reason: Reason, retry_after_ms: float) -> RequestEnd:
+        """End with a response generated here, reporting "not run" only if that is certain."""
         if self._progress.began:
-            return self._cut(reason)
+            return self._abort_answer(reason)
         ran = self._progress.may_have_run
         status = 503
         if ran:
             status = 504 if reason is Reason.DEADLINE_PASSED else 502
-        return self._answer_own(status, reason, ran, retry_after_ms)
+        return self._send_own_answer(status, reason, ran, retry_after_ms)
 
-    def end_late(self) -> RequestEnd:
-        """End a request whose time is over."""
-        in_time = now_ms() - self._request.arrived_at_ms
-        route_timeout = in_time >= self._request.route.timeout_ms - LEAST_LEFT_MS
-        reason = Reason.ROUTE_TIMEOUT if route_timeout else Reason.DEADLINE_PASSED
+    def end_timed_out(self) -> RequestEnd:
+        """End a request whose time limit has expired."""
+        elapsed_ms = now_ms() - self._request.arrived_at_ms
+        is_route_timeout = elapsed_ms >= self._request.route.timeout_ms - MIN_TIME_LEFT_MS
+        reason = Reason.ROUTE_TIMEOUT if is_route_timeout else Reason.DEADLINE_PASSED
         if self._progress.began or self._caller.started:
-            return self._cut(reason)
+            return self._abort_answer(reason)
         ran = self._progress.sends > 0
-        return self._answer_own(504 if ran else 503, reason, ran, RETRY_AFTER_DEFAULT_MS)
+        return self._send_own_answer(504 if ran else 503, reason, ran, DEFAULT_RETRY_AFTER_MS)
 
-    def _answer_own(
+    def _send_own_answer(
         self, status: int, reason: Reason, ran: bool, retry_after_ms: float
     ) -> RequestEnd:
         sent = self._progress.sends > 0
-        said = OwnAnswer(
+        own_answer = OwnAnswer(
             ran,
             retry_after_ms,
             sent,
             self._ended_server,
-            is_region_full=not sent and reason in NO_ROOM,
+            is_region_full=not sent and reason in REGION_FULL_REASONS,
         )
-        headers = self._parts.refusal_headers(said)
+        headers = self._dependencies.refusal_headers(own_answer)
         self._caller.answer(status, headers, b"")
-        return self._ended(status, reason, ran)
+        return self._make_end(status, reason, ran)
 
-    def _cut(self, reason: Reason) -> RequestEnd:
-        """End the connection without the framed end, so that the answer shows as cut."""
+    def _abort_answer(self, reason: Reason) -> RequestEnd:
+        """Close the connection without the final chunk so that the truncation is visible."""
         self._caller.closing = True
-        return self._ended(0, reason)
+        return self._make_end(0, reason)
 
-    def _ended(self, status: int, reason: Reason, ran: bool = True) -> RequestEnd:
+    def _make_end(self, status: int, reason: Reason, ran: bool = True) -> RequestEnd:
         return RequestEnd(status, reason, ran, self.placement, self.refusal, self._progress)
 
 
-def may_move(request: RoutedRequest, progress: Progress) -> bool:
-    """Tell whether a request that waits for a silent server may be sent elsewhere."""
+def may_send_elsewhere(request: RoutedRequest, progress: Progress) -> bool:
+    """Tell whether a request waiting for an unresponsive server may be sent elsewhere."""
     return (
         request.origin is Origin.CALLER
         and request.route.repeatable
--- a/sparline/forwarding/_retry_window.py
+++ b/sparline/forwarding/_retry_window.py
@@ -1,4 +1,4 @@
-"""A budget for repeats, shared out between instances without a word between them."""
+"""Retry budget that is divided between instances without communication."""
 
 from collections import deque
 from collections.abc import Callable
@@ -7,63 +7,68 @@
 from sparline._clock import now_ms
 from sparline.routes import ServiceName
 
-# Part of the fleet's budget that is used, so that late arrivals stay within it.
-BUDGET_USED = 0.7
-# Repeats beyond the ratio that an instance allows itself while it may not know the others (count):
-# the first one, after the part above. Those that start together would each take the whole slack.
-UNSETTLED_SLACK = 1.5
+# Fraction of the budget that is used; the rest absorbs instances that join late.
+BUDGET_FRACTION = 0.7
+# Maximum share of the slack that an instance uses while it may not know all other instances
+# (count). Multiplied by BUDGET_FRACTION it allows one retry. Without this limit, instances that
+# start together would each use the whole slack.
+MAX_UNSETTLED_SLACK = 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class RetryRule:
-    """Bound the sends to a service beyond the first of each request, over all instances."""
+    """Limit the retries of requests to a service over all instances."""
 
-    ratio: float  # repeats for each request of the window
-    slack: float  # repeats beyond that, for the whole fleet
-    window_ms: float  # length of the window
+    ratio: float  # retries per request in the window
+    slack: float  # additional retries for the whole fleet
+    window_ms: float  # length of the sliding window
 
 
 class RetryWindow:
-    """Count requests and repeats of the last window, by service."""
+    """Enforce the retry budget per service over a sliding window."""
 
     def __init__(
         self,
         rule: RetryRule,
-        sharing: Callable[[], int],
+        instance_count: Callable[[], int],
         is_settled: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Bound repeats by a rule.
+        """Limit retries by a rule.
 
-        `sharing` tells how many instances share the slack, `is_settled` whether these are likely
-        to be all of them.
+        `instance_count` returns how many instances share the slack, and `is_settled` whether all
+        instances are likely to be among them.
         """
         self._rule = rule
-        self._sharing = sharing
+        self._instance_count = instance_count
         self._is_settled = is_settled
-        self._requests: dict[ServiceName, deque[float]] = {}
-        self._repeats: dict[ServiceName, deque[float]] = {}
+        self._request_times: dict[ServiceName, deque[float]] = {}
+        self._retry_times: dict[ServiceName, deque[float]] = {}
 
     def note_request(self, service: ServiceName) -> None:
-        """Count a request of a caller."""
-        self._recent(self._requests, service).append(now_ms())
+        """Count a request from a caller."""
+        self._times_in_window(self._request_times, service).append(now_ms())
 
     def spend(self, service: ServiceName) -> bool:
-        """Take one repeat; False where the budget is used up."""
-        repeats = self._recent(self._repeats, service)
-        earned = self._rule.ratio * len(self._recent(self._requests, service))
-        if len(repeats) + 1 > BUDGET_USED * (earned + self._slack()):
+        """Use up one retry; return False if the budget is exhausted."""
+        retry_times = self._times_in_window(self._retry_times, service)
+        request_allowance = self._rule.ratio * len(
+            self._times_in_window(self._request_times, service)
+        )
+        if len(retry_times) + 1 > BUDGET_FRACTION * (request_allowance + self._slack()):
             return False
-        repeats.append(now_ms())
+        retry_times.append(now_ms())
         return True
 
     def _slack(self) -> float:
         """Return this instance's share of the slack."""
-        share = self._rule.slack / max(self._sharing(), 1)
-        return share if self._is_settled() else min(share, UNSETTLED_SLACK)
+        share = self._rule.slack / max(self._instance_count(), 1)
+        return share if self._is_settled() else min(share, MAX_UNSETTLED_SLACK)
 
-    def _recent(self, table: dict[ServiceName, deque[float]], service: ServiceName) -> deque[float]:
-        times = table.setdefault(service, deque())
+    def _times_in_window(
+        self, table: dict[ServiceName, deque[float]], service: ServiceName
+    ) -> deque[float]:
+        recent_times = table.setdefault(service, deque())
         since = now_ms() - self._rule.window_ms
-        while times and times[0] < since:
-            times.popleft()
-        return times
+        while recent_times and recent_times[0] < since:
+            recent_times.popleft()
+        return recent_times
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -32,13 +32,13 @@
     watches_store,
 )
 from sparline.forwarding import (
-    AttemptTools,
+    AttemptDependencies,
     Forwarder,
-    ForwarderParts,
+    ForwarderDependencies,
     OwnAnswer,
     RetryRule,
     RetryWindow,
-    may_move,
+    may_send_elsewhere,
 )
 from sparline.gateway._directory import Directory
 from sparline.gateway._leave_plan import NEEDED_UNTIL, LeavePlan
@@ -244,7 +244,7 @@
         )
 
     def _forwarder(self, headers: Callable[[OwnAnswer], Headers]) -> Forwarder:
-        tools = AttemptTools(
+        tools = AttemptDependencies(
             pool=self._pool,
             backend_wire=ServerWire(),
             peer_wire=InstanceWire(),
@@ -256,23 +256,25 @@
             watch=WatchTables(
                 self.pace, self.gaps, self.loads, self.pause_watch.process_resumed_at_ms
             ),
-            may_move=may_move,
+            may_send_elsewhere=may_send_elsewhere,
             note_peer=self.peers.note,
             note_round_trip=self.peers.note_round_trip,
             ends=self.ends,
             has_ended=self._ended_starts.__contains__,
         )
         return Forwarder(
-            ForwarderParts(
+            ForwarderDependencies(
                 chooser=self.chooser,
-                chance=random.Random(),
+                rng=random.Random(),
                 loads=self.loads,
                 retries=self.retries,
-                tools=tools,
+                attempt_dependencies=tools,
                 note_retry=self.request_log.note_retry,
                 note_broken=self.request_log.note_broken,
                 crashes=self.crashes,
-                is_barred=lambda request: is_withdrawn(self.fleet.configuration, request.caller),
+                is_key_withdrawn=lambda request: is_withdrawn(
+                    self.fleet.configuration, request.caller
+                ),
                 refusal_headers=headers,
             )
         )
--- a/sparline/limits/_bucket.py
+++ b/sparline/limits/_bucket.py
@@ -1,42 +1,42 @@
-"""A token bucket whose rate may change at any time."""
+"""Token bucket with an adjustable rate."""
 
 from sparline._clock import now_ms
 
 
-class Bucket:
-    """Let requests through at a rate, with a burst."""
+class TokenBucket:
+    """Admit requests at a rate, with bursts."""
 
     def __init__(self, rate_per_s: float, burst: float) -> None:
-        """Start with the whole burst."""
+        """Start with a full bucket."""
         self.rate_per_s = rate_per_s
         self.burst = max(burst, 1.0)
-        self._level = self.burst
-        self._filled_at_ms = now_ms()
+        self._tokens = self.burst
+        self._refilled_at_ms = now_ms()
 
     def change(self, rate_per_s: float, burst: float) -> None:
-        """Go on with another rate; what is over the new burst is lost."""
-        self._fill()
+        """Change the rate and burst, discarding tokens above the new burst."""
+        self._refill()
         self.rate_per_s = rate_per_s
         self.burst = max(burst, 1.0)
-        self._level = min(self._level, self.burst)
+        self._tokens = min(self._tokens, self.burst)
 
     def take(self) -> bool:
-        """Let one request through, or not."""
-        self._fill()
-        if self._level < 1:
+        """Take one token; return False if none is available."""
+        self._refill()
+        if self._tokens < 1:
             return False
-        self._level -= 1
+        self._tokens -= 1
         return True
 
     def wait_ms(self) -> float:
-        """Return how long until the next request may come."""
-        self._fill()
-        missing = max(1 - self._level, 0)
+        """Return the time until the next token is available."""
+        self._refill()
+        missing = max(1 - self._tokens, 0)
         return missing / max(self.rate_per_s, 1e-6) * 1000
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = now_ms()
-        self._level = min(
-            self.burst, self._level + self.rate_per_s * (now - self._filled_at_ms) / 1000
+        self._tokens = min(
+            self.burst, self._tokens + self.rate_per_s * (now - self._refilled_at_ms) / 1000
         )
-        self._filled_at_ms = now
+        self._refilled_at_ms = now
--- a/sparline/orders/_runner.py
+++ b/sparline/orders/_runner.py
@@ -1,4 +1,4 @@
-"""Orders to the engines of this zone: one owner at a time, one order at a time."""
+"""Delivery of orders to the engines of this zone by a single owner, one order at a time."""
 
 import json
 from collections.abc import Callable
@@ -14,38 +14,39 @@
 from sparline._metrics import Metrics
 from sparline.backends import BackendAddress, call_json
 from sparline.declarations import Catalog
-from sparline.orders._plan import Order, takes_warm_replica, wanted_orders, warm_elsewhere
+from sparline.orders._plan import Order, has_other_replica, interrupts_serving, wanted_orders
 from sparline.peers import Membership
 from sparline.routing import BackendState, LoadTable, SummaryTable
 from sparline.schema._declarations import OrderCheck
 
+# Timeout for an engine's response to an order (ms).
 ORDER_TIMEOUT_MS = 120_000.0
 READ_TIMEOUT_MS = 1_000.0
-# A zone whose last warm replica must change waits this long per zone before it.
-STAGGER_MS = 30_000.0
+# Maximum wait, per preceding zone, before a zone takes its last loaded replica out of service (ms).
+ZONE_STAGGER_MS = 30_000.0
 
 
 class OrderResult(Enum):
-    """Say what became of an order."""
+    """Enumerate the results of an order."""
 
-    DONE = "done"
-    STALE_FENCE = "stale_fence"
+    DONE = "done"  # confirmed by the engine
+    STALE_FENCE = "stale_fence"  # rejected by the engine, which has seen a newer fence
     FAILED = "failed"
-    NOT_OWNER = "not_owner"
-    NOT_NEEDED = "not_needed"
-    HELD_BACK = "held_back"
+    NOT_OWNER = "not_owner"  # not the owner, or not for long enough
+    NOT_NEEDED = "not_needed"  # no longer wanted when it was about to be sent
+    HELD_BACK = "held_back"  # would take the last loaded replica out of service
 
 
 @dataclass(frozen=True, slots=True)
 class OrderHooks:
-    """Hold what orders ask of the instance."""
+    """Bundle what the order runner needs from the instance."""
 
-    read_report: Callable[[BackendState], bool]  # read an engine's report now
-    takeover_ms: float  # wait before an unfenced engine is taken over
+    read_report: Callable[[BackendState], bool]  # fetches an engine's report; False on failure
+    takeover_ms: float  # wait of a new owner before it sends to unfenced engines
 
 
 class OrderRunner:
-    """Bring the engines of this zone to what the files say."""
+    """Bring the engines of this zone to their declared state."""
 
     def __init__(
         self,
@@ -55,34 +56,34 @@
         hooks: OrderHooks,
         metrics: Metrics,
     ) -> None:
-        """Start without the duty."""
-        self.catalog = Catalog()  # replaced when the files change
+        """Start without ownership of the zone's orders."""
+        self.catalog = Catalog()  # replaced when the declaration files change
         self._membership = membership
         self._loads = loads
         self._summaries = summaries
         self._hooks = hooks
         self._metrics = metrics
         self._owner_since_ms: float | None = None
-        self._last_tick_ms = now_ms()
+        self._last_active_ms = now_ms()
         self._blocked_since_ms: dict[Order, float] = {}
 
     def tick(self) -> list[OrderResult]:
-        """Send what is due now; return what became of each order."""
-        self._note_duty()
+        """Send the orders that are due and return the result of each."""
+        self._update_ownership()
         results = []
         for backend in self._loads.all():
             for order in wanted_orders(backend, self.catalog):
-                result = self._consider(order, backend)
+                result = self._process(order, backend)
                 self._metrics.orders.labels(order.kind.value, result.value).inc()
                 results.append(result)
                 if result is not OrderResult.DONE:
                     break
         return results
 
-    def _note_duty(self) -> None:
-        # A pause of this process may have cost it the duty without its noticing.
-        paused = now_ms() - self._last_tick_ms > self._hooks.takeover_ms / 2
-        self._last_tick_ms = now_ms()
+    def _update_ownership(self) -> None:
+        # While this instance was paused, another one may have become the owner unnoticed.
+        paused = now_ms() - self._last_active_ms > self._hooks.takeover_ms / 2
+        self._last_active_ms = now_ms()
         if not self._membership.has_zone_duty("orders"):
             self._owner_since_ms = None
         elif self._owner_since_ms is None or paused:
@@ -96,37 +97,37 @@
             return True
         return now_ms() - self._owner_since_ms >= self._hooks.takeover_ms
 
-    def _consider(self, order: Order, backend: BackendState) -> OrderResult:
+    def _process(self, order: Order, backend: BackendState) -> OrderResult:
         if not self._may_send(backend):
             return OrderResult.NOT_OWNER
-        if takes_warm_replica(order) and not self._may_take_warm_replica(order):
+        if interrupts_serving(order) and not self._may_interrupt_serving(order):
             return OrderResult.HELD_BACK
         return self._send(order, backend)
 
-    def _may_take_warm_replica(self, order: Order) -> bool:
-        """Keep a warm replica: another engine here, or the zones change one after the other."""
-        if warm_elsewhere(order, self._loads.all()):
+    def _may_interrupt_serving(self, order: Order) -> bool:
+        """Tell whether a loaded replica remains in the zone or the preceding zones are finished."""
+        if has_other_replica(order, self._loads.all()):
             return True
         since_ms = self._blocked_since_ms.setdefault(order, now_ms())
-        before = self._zones_before(order)
-        waiting = [zone for zone in before if not self._zone_has(zone, order)]
-        return not waiting or now_ms() - since_ms > STAGGER_MS * len(before)
+        preceding = self._preceding_zones(order)
+        waiting = [zone for zone in preceding if not self._zone_has_version(zone, order)]
+        return not waiting or now_ms() - since_ms > ZONE_STAGGER_MS * len(preceding)
 
-    def _zones_before(self, order: Order) -> list[ZoneName]:
+    def _preceding_zones(self, order: Order) -> list[ZoneName]:
         own = self._membership.self_hello.availability_zone
         zones = (ZoneName(held.summary.availability_zone) for held in self._summaries.fresh())
-        return [zone for zone in zones if zone < own and self._versions(zone, order)]
+        return [zone for zone in zones if zone < own and self._zone_versions(zone, order)]
 
-    def _zone_has(self, zone: ZoneName, order: Order) -> bool:
-        return order.what.partition("@")[2] in self._versions(zone, order)
+    def _zone_has_version(self, zone: ZoneName, order: Order) -> bool:
+        return order.what.partition("@")[2] in self._zone_versions(zone, order)
 
-    def _versions(self, zone: ZoneName, order: Order) -> list[str]:
+    def _zone_versions(self, zone: ZoneName, order: Order) -> list[str]:
         held = self._summaries.get(zone)
         targets = held.summary.targets if held else []
         return next((one.versions for one in targets if one.target == order.target), [])
 
     def _send(self, order: Order, backend: BackendState) -> OrderResult:
-        """Check duty, files and engine right before sending; read the engine again after."""
+        """Recheck ownership, declarations and engine, send the order, then reread the engine."""
         if not self._hooks.read_report(backend):
             return OrderResult.FAILED
         if order not in wanted_orders(backend, self.catalog):
@@ -145,7 +146,7 @@
         log.info("orders: {} {} at {}", order.kind.value, order.what, order.backend_server)
         address = BackendAddress(backend.member.ip, backend.member.port)
         answer = call_json(address, "POST", "/orders", body, ORDER_TIMEOUT_MS)
-        self._last_tick_ms = now_ms()
+        self._last_active_ms = now_ms()
         self._hooks.read_report(backend)
         match answer:
             case Ok((200, _)):
@@ -153,7 +154,9 @@
                 return OrderResult.DONE
             case Ok((409, content)):
                 log.warning(
-                    "orders: {} has a newer fence: {}", order.backend_server, _fence(content)
+                    "orders: {} has a newer fence: {}",
+                    order.backend_server,
+                    _reported_fence(content),
                 )
                 return OrderResult.STALE_FENCE
             case Ok(_) | Err(_):
@@ -161,7 +164,7 @@
         return OrderResult.FAILED
 
 
-def _fence(content: bytes) -> object:
+def _reported_fence(content: bytes) -> object:
     try:
         return msgspec.json.decode(content).get("fence")
     except (msgspec.DecodeError, AttributeError):
