--- a/sparline/quotas/__init__.py
+++ b/sparline/quotas/__init__.py
@@ -1,8 +1,9 @@
-"""Quotas of organisations over all instances, with nothing shared but what they tell each other.
+"""Fleet-wide quotas of organisations, enforced by message exchange without shared storage.
 
-One instance of each region, its account holder, adds up what the region's instances have admitted and
-tells them how much is left; account holders tell each other their regions' totals. An instance that
-hears of no account holder, and a region that hears nothing of another, go on with their own part.
+One instance of each region, the quota coordinator, adds up what the region's instances have admitted
+and answers their reports with the remaining quota; coordinators exchange their regions' totals. An
+instance without a coordinator, and a region cut off from another, continue with their own share of the
+quota.
 """
 
 from sparline.quotas._account import Account, RegionTotal
--- a/sparline/quotas/_account.py
+++ b/sparline/quotas/_account.py
@@ -1,4 +1,4 @@
-"""What one region has admitted of each quota, kept by the instance that the others report to."""
+"""Use of each quota in one region, kept by the region's quota coordinator."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,41 +8,46 @@
 from sparline.quotas._level import FleetLevel
 from sparline.quotas._terms import Terms
 
-# A region whose account holder was not heard of for so long, a round and a way and some more, is silent (ms).
+# A region is silent when its coordinator was not heard from for this long (ms): a gossip round, the network
+# delay and a margin.
 SILENT_MS = 450.0
-# What has changed lately is told in each round for this long (ms): it is known once a cut is over.
+# A changed total is repeated in each gossip round for this long (ms), so that it still arrives after a
+# network partition.
 TOLD_AGAIN_MS = 12_000.0
-# Totals told in a datagram (count), the newest first, some 12 bytes each: it stays below 1,400 bytes.
+# Most totals in a datagram, the newest first: at some 12 bytes each it stays below 1,400 bytes.
 MOST_TOLD = 90
-# Where little is left, other regions hear at once, but not more often than each of them may (ms for each
-# region), so that an account holder hears from all others no more than a hundred times a second.
+# When little quota is left, totals are sent at once. The least interval grows with the number of regions
+# (ms for each), so that a coordinator receives at most a hundred messages a second from all others.
 PRESSED_MS_A_REGION = 10.0
 PRESSED_LEAST_MS = 60.0
-# A quota of which nothing was used for so long is forgotten (ms), and so is an instance.
+# Quotas without use and instances without reports for this long are dropped (ms).
 IDLE_MS = 60_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class RegionTotal:
-    """Tell what a region has admitted of one quota."""
+    """Represent the units that a region has admitted against one quota."""
 
-    key: int  # names the organisation
-    total: float  # units since its account holder began
+    key: int  # quota key of the organisation
+    total: float  # units since its coordinator started counting
 
 
 @dataclass(slots=True)
 class _Kept:
-    """Hold one organisation's quota."""
+    """Hold the state of one organisation's quota."""
 
-    level: FleetLevel  # what is left
-    used_at_ms: float  # when anything was last used
-    total: float = 0.0  # units that this region has admitted
-    told: float = 0.0  # units of them that other regions were told of
-    total_at_ms: float = 0.0  # when that last changed
+    level: FleetLevel  # remaining units
+    used_at_ms: float  # time of the last use
+    total: float = 0.0  # units admitted by this region
+    told: float = 0.0  # value of `total` last sent to other regions
+    total_at_ms: float = 0.0  # time when `total` last changed
 
 
 class Account:
-    """Add up reports and other regions' totals; every instance may be asked to keep one."""
+    """Aggregate the reports of a region's instances and the totals of other regions.
+
+    Every instance may become the coordinator of its region.
+    """
 
     def __init__(
         self,
@@ -50,16 +55,18 @@
         terms_of: Callable[[int], Terms | None],
         parts: Callable[[], dict[RegionName, float]],
     ) -> None:
-        """Keep the account of a region.
+        """Create the aggregate of a region.
 
-        `terms_of` returns the terms of a quota by its key, None for an unknown one; `parts` returns the
-        part of each region in a quota, by what may admit there.
+        `terms_of` returns the refill parameters of a quota by its key, None for an unknown key; `parts`
+        returns the share of each region in a quota, by the instances that may admit requests there.
         """
         self._region = region
         self._terms_of = terms_of
         self._parts = parts
         self._kept: dict[int, _Kept] = {}
-        self._totals: dict[int, float] = {}  # of quotas that are forgotten: others remember them
+        self._totals: dict[
+            int, float
+        ] = {}  # of dropped quotas: other coordinators still remember them
         self._members: dict[tuple[str, int], dict[int, float]] = {}
         self._member_at_ms: dict[tuple[str, int], float] = {}
         self._holders: dict[tuple[str, int], dict[int, float]] = {}
@@ -68,9 +75,9 @@
         self._is_pressed = False
 
     def take_report(self, member: tuple[str, int], report: Report, now: float) -> dict[int, float]:
-        """Take what an instance has admitted; return what is left, by key.
+        """Apply the report of an instance; return the remaining units by quota key.
 
-        `member` names the start of an instance, whose totals begin anew with it.
+        `member` identifies one run of an instance; its totals restart from zero with each run.
         """
         told = self._members.setdefault(member, {})
         self._member_at_ms[member] = now
@@ -86,7 +93,7 @@
             units = use.total - told[use.key] if use.key in told else use.unsaid
             told[use.key] = use.total
             if known or use.level is None:
-                # A level that the instance told knows of its own use.
+                # A level taken over from the instance's report already includes its own use.
                 kept.level.use(units)
             self._note_used(kept, units, now)
             left[use.key] = kept.level.at(now, silent)
@@ -96,7 +103,7 @@
         return left
 
     def is_word_due(self, now: float) -> bool:
-        """Tell whether other regions are to hear at once."""
+        """Return whether totals should be sent to other regions without waiting for the next round."""
         regions = len(self._heard_at_ms) + 1
         since_ms = now - self._told_at_ms
         return self._is_pressed and since_ms >= max(PRESSED_LEAST_MS, PRESSED_MS_A_REGION * regions)
@@ -104,7 +111,7 @@
     def _keep(self, key: int, terms: Terms, told: float | None, now: float) -> _Kept:
         kept = self._kept.get(key)
         if kept is None:
-            # Whoever kept the account before is gone; what it said last is still held by others.
+            # The previous coordinator is gone; instances still hold the level that it last reported.
             first = terms.first * self._parts().get(self._region, 1.0)
             level = first if told is None else min(told, terms.most)
             total = self._totals.get(key, 0.0)
@@ -119,7 +126,7 @@
             kept.total_at_ms = now
 
     def totals(self, now: float) -> list[RegionTotal]:
-        """Return what other regions' account holders are to hear: what has changed lately."""
+        """Return the recently changed totals to send to other regions' coordinators."""
         self._told_at_ms = now
         self._is_pressed = False
         for kept in self._kept.values():
@@ -135,12 +142,12 @@
     def take_totals(
         self, region: RegionName, holder: tuple[str, int], totals: list[RegionTotal], now: float
     ) -> None:
-        """Take what another region has admitted; `holder` names the start of its account holder."""
+        """Apply the totals of another region; `holder` identifies one run of its coordinator."""
         silent = self._silent_parts(now)
         told = self._holders.setdefault(holder, {})
         used: dict[int, float] = {}
         for one in totals:
-            # A holder that is new here tells what was admitted before it was heard of as well.
+            # The first total of a coordinator includes units admitted before it was known here.
             used[one.key] = one.total - told.get(one.key, one.total)
             told[one.key] = one.total
             terms = self._terms_of(one.key)
@@ -162,9 +169,9 @@
         }
 
     def forget_idle(self, now: float) -> None:
-        """Forget quotas and instances of which nothing was heard for long."""
+        """Drop quotas and instances that have been idle for `IDLE_MS`."""
         silent = self._silent_parts(now)
-        # What is still owed would be forgiven.
+        # A quota in debt is kept: dropping it would cancel the debt.
         idle = [
             key
             for key, one in self._kept.items()
@@ -178,5 +185,5 @@
             del self._member_at_ms[member]
 
     def __len__(self) -> int:
-        """Return how many quotas are kept."""
+        """Return the number of quotas with state."""
         return len(self._kept)
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -1,4 +1,4 @@
-"""What one instance may admit of each quota, between the words of its region's account holder."""
+"""Local admission by quota in one instance, between answers of its region's quota coordinator."""
 
 import math
 import random
@@ -9,106 +9,106 @@
 from sparline.quotas._terms import QuotaBounds, Terms, make_terms, quota_key
 from sparline.routes import Organisation
 
-# Where much is left, what was admitted is told so often (ms), and where little is left, at once: but
-# not more often than each of the region's instances may (ms for each of them), so that the account
-# holder hears from all of them no more than some hundred times a second.
+# Admitted units are reported at this interval while much quota is left (ms), and at once when little is
+# left. The least interval grows with the number of instances in the region (ms for each), so that the
+# coordinator receives no more than some hundred reports a second from all of them.
 CALM_MS = 1_000.0
 PRESSED_MS_AN_INSTANCE = 3.0
 PRESSED_LEAST_MS = 20.0
-# A report that is not answered by then, a few times the way within a region, shows that the account
-# holder is gone (ms).
+# The coordinator counts as gone when a report is unanswered for this long (ms), a few times the network
+# delay within a region.
 ANSWER_MS = 700.0
-# A report is repeated if it was not answered by then (ms).
+# A report is sent again when it is unanswered for this long (ms).
 AGAIN_MS = 200.0
-# For so long after a word what comes to the whole fleet is taken to be there for whoever asks, later only
-# the own part of it (ms): others ask too, and a holder that has ended tells nobody.
+# For this long after an answer the refill of the whole fleet is credited here, afterwards only this
+# instance's share (ms): other instances use the quota too, and a stopped coordinator sends no updates.
 FRESH_MS = 150.0
-# A word older than this says nothing of what others have used since (ms).
+# An answer older than this is ignored, since the use by others since then is unknown (ms).
 WORD_MS = 3_000.0
-# A new account holder goes on from a word that is not older than this (ms).
+# A new coordinator takes over the level of an answer that is not older than this (ms).
 REMEMBERED_MS = 10_000.0
-# An organisation that has asked nothing for so long is forgotten (ms).
+# An organisation without requests for this long is dropped (ms).
 IDLE_MS = 60_000.0
-# Callers over the quota are told to come back once it holds enough again, spread by this factor, so
-# that they don't come at once; not sooner and not later than this (ms).
+# Callers over the quota are told to retry once it has refilled. The delay is multiplied by a random factor
+# from this range, so that retries don't coincide, and bounded by these delays (ms).
 SPREAD = (1.0, 1.5)
 LEAST_WAIT_MS = 50.0
 MOST_WAIT_MS = 10_000.0
-# Organisations named in a report (count), some 22 bytes each: it stays below 1,400 bytes.
+# Most organisations in a report: at some 22 bytes each it stays below 1,400 bytes.
 MOST_USES = 56
-# Reports whose answers are waited for (count).
+# Most reports that may await an answer.
 MOST_OPEN_REPORTS = 16
 MS_PER_S = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Use:
-    """Tell what an instance has admitted of one quota."""
+    """Represent the units that an instance has admitted against one quota."""
 
-    key: int  # names the organisation
-    total: float  # units since the instance started
-    unsaid: float  # units of them that the last word did not know of
-    level: float | None  # what was left by the last word, None without one
+    key: int  # quota key of the organisation
+    total: float  # units admitted since the instance started
+    unsaid: float  # units of them not included in the last answer
+    level: float | None  # remaining units by the last answer, None without one
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Tell the account holder what an instance has admitted."""
+    """Report the units admitted by an instance to the coordinator."""
 
-    sequence: int  # named by the answer
-    uses: list[Use]  # of the organisations that have asked since the last report
+    sequence: int  # repeated in the answer
+    uses: list[Use]  # of the organisations with requests since the last report
 
 
 @dataclass(frozen=True, slots=True)
 class Left:
-    """Tell what an instance takes to be left of a quota."""
+    """Represent the remaining quota as estimated by an instance."""
 
-    units: float  # below zero for what is owed
-    is_fleets: bool  # whether that is of the whole quota, not of the own part
-    word_age_ms: float | None  # how old the account holder's last word is, None without one
+    units: float  # negative when in debt
+    is_fleets: bool  # whether that is of the whole quota, not of the instance's share
+    word_age_ms: float | None  # age of the coordinator's last answer, None without one
 
 
 @dataclass(slots=True)
 class _Count:
-    """Count what was admitted of one quota since the start.
+    """Count the units admitted against one quota since the instance started.
 
-    It outlives the share: the account holder remembers the total, and would take one that begins anew for
-    units that were given back.
+    It is kept when the share is dropped: the coordinator remembers the total, and would take a total that
+    restarts from zero for returned units.
     """
 
     total: float = 0.0  # units admitted
-    told: float = 0.0  # units of them that were reported
-    answered: float = 0.0  # units of them that the last word knew of
+    told: float = 0.0  # value of `total` last reported
+    answered: float = 0.0  # value of `total` included in the last answer
 
 
 @dataclass(slots=True)
 class _Share:
-    """Hold one organisation's quota as this instance sees it."""
+    """Hold this instance's state of one organisation's quota."""
 
-    count: _Count  # what was admitted
-    terms: Terms  # what it moves by
-    level: float  # units that are left, below zero for what is owed
-    at_ms: float  # when that was so
-    asked_at_ms: float  # when a request last asked
-    is_short: bool = False  # whether a request was turned away since the last word
-    has_word: bool = False  # whether the level is the fleet's, not the own part of it
-    word_at_ms: float = float("-inf")  # when the last word came
-    word_level: float = 0.0  # what was left by it, all that this instance admitted taken off
+    count: _Count  # admitted units
+    terms: Terms  # refill parameters
+    level: float  # remaining units, negative when in debt
+    at_ms: float  # time of `level`
+    asked_at_ms: float  # time of the last request
+    is_short: bool = False  # whether a request was refused since the last answer
+    has_word: bool = False  # whether the level is the fleet's, not this instance's share
+    word_at_ms: float = float("-inf")  # time of the last answer
+    word_level: float = 0.0  # remaining units by it, less all that this instance admitted
 
 
 @dataclass(slots=True)
 class _Sent:
-    """Remember a report until its answer comes."""
+    """Hold a sent report until it is answered."""
 
-    at_ms: float  # when it was sent
-    totals: dict[int, float] = field(default_factory=dict)  # totals that it told
+    at_ms: float  # time of sending
+    totals: dict[int, float] = field(default_factory=dict)  # reported totals by quota key
 
 
 class Allowance:
-    """Admit requests; reports and words are carried by whoever owns this."""
+    """Admit requests by quota; the owner transports reports and answers."""
 
     def __init__(self, bounds: QuotaBounds, chance: random.Random) -> None:
-        """Start without any word."""
+        """Start without any answer from a coordinator."""
         self._bounds = bounds
         self._chance = chance
         self._shares: dict[int, _Share] = {}
@@ -120,10 +120,11 @@
     def admit(
         self, organisation: Organisation, cost: float, instances: int, now: float
     ) -> float | None:
-        """Return None where a request may run, else when it may come back (ms).
+        """Return None when a request is admitted, else the delay before a retry (ms).
 
-        What is left may be less than one request: the rest is owed, and nothing is admitted until it is
-        made up for. `instances` share the quota where nothing is heard of the others.
+        A request may cost more than the remaining units: the level becomes negative, and nothing is
+        admitted until it has refilled. `instances` is the number of instances that share the quota evenly
+        while there is no answer from a coordinator.
         """
         if organisation.quota is None:
             return None
@@ -145,19 +146,19 @@
         return None
 
     def is_guess(self, organisation: OrganisationId, now: float) -> bool:
-        """Tell whether what is left may have changed since the account holder's last word."""
+        """Return whether the coordinator's last answer is too old for the level to be exact."""
         share = self._shares.get(quota_key(organisation))
         return share is not None and now - share.word_at_ms > FRESH_MS
 
     def settle(self, organisation: OrganisationId, units: float) -> None:
-        """Take more off for a request that ran again, or give back what did not run (below zero)."""
+        """Charge more for a request that ran again, or return units that did not run (negative)."""
         share = self._shares.get(quota_key(organisation))
         if share is not None:
             share.level = min(share.level - units, share.terms.most)
             share.count.total += units
 
     def _move(self, share: _Share, instances: int, now: float) -> None:
-        """Move a level on in time; without a word the own part alone is used."""
+        """Advance a level to `now`; without a current answer only this instance's share is used."""
         if share.has_word and self._is_word_old(share, now):
             share.has_word = False
             share.level = min(share.level, share.terms.most / max(instances, 1))
@@ -169,7 +170,7 @@
         share.at_ms = max(now, share.at_ms)
 
     def _elapsed(self, share: _Share, now: float) -> tuple[float, float]:
-        """Return the time since the last move, while the last word was fresh and since then (ms)."""
+        """Return the time since the last update, split by whether the last answer was fresh (ms)."""
         elapsed_ms = max(now - share.at_ms, 0.0)
         if not share.has_word:
             return 0.0, elapsed_ms
@@ -187,18 +188,18 @@
         return min(max(wait_ms, LEAST_WAIT_MS) * self._chance.uniform(*SPREAD), MOST_WAIT_MS)
 
     def is_report_due(self, siblings: int, now: float) -> bool:
-        """Tell whether the account holder is to hear at once; `siblings` report to the same one."""
+        """Return whether to report now; `siblings` is the number of instances in the region."""
         since_ms = now - self._reported_at_ms
         if since_ms < max(PRESSED_LEAST_MS, PRESSED_MS_AN_INSTANCE * siblings):
             return False
         if self._sent and since_ms >= AGAIN_MS:
-            # The last report or its answer may be lost.
+            # The last report or its answer may have been lost.
             return True
         calm = since_ms < CALM_MS
         return any(_matters(one, siblings, calm) for one in self._shares.values())
 
     def report(self, now: float) -> Report:
-        """Return what was admitted since the last report."""
+        """Create a report of the units admitted since the last one."""
         self._sequence += 1
         self._reported_at_ms = now
         sent = _Sent(now)
@@ -220,12 +221,12 @@
         return Report(self._sequence, uses)
 
     def is_unanswered(self, now: float) -> bool:
-        """Tell whether the account holder has fallen silent."""
+        """Return whether the coordinator has failed to answer within `ANSWER_MS`."""
         oldest = next(iter(self._sent.values()), None)
         return oldest is not None and now - oldest.at_ms > ANSWER_MS
 
     def take_word(self, sequence: int, levels: dict[int, float], now: float) -> None:
-        """Take the account holder's answer to a report; one that was overtaken says nothing."""
+        """Apply the coordinator's answer to a report; an answer overtaken by a newer one is ignored."""
         sent = self._sent.get(sequence)
         if sent is None:
             return
@@ -244,7 +245,7 @@
             share.is_short = False
 
     def forget_idle(self, now: float) -> None:
-        """Forget what is left of organisations that have asked nothing for long."""
+        """Drop the state of organisations without requests for `IDLE_MS`, unless they are in debt."""
         self._shares = {
             key: one
             for key, one in self._shares.items()
@@ -252,7 +253,7 @@
         }
 
     def left(self, organisation: OrganisationId, now: float) -> Left | None:
-        """Return what is taken to be left of a quota, None where it is unused here."""
+        """Return the estimated remaining quota, None when it is unused here."""
         share = self._shares.get(quota_key(organisation))
         if share is None:
             return None
@@ -261,18 +262,18 @@
 
 
 def _owes(share: _Share, now: float) -> bool:
-    """Tell whether a quota is still owed, also if nobody else has used it since."""
+    """Return whether a quota is still in debt, assuming that nobody else has used it since."""
     gained = share.terms.per_s * max(now - share.at_ms, 0.0) / MS_PER_S
     return share.level + gained < 0
 
 
 def _matters(share: _Share, siblings: int, calm: bool) -> bool:
-    """Tell whether what was admitted since the last report changes what others may admit."""
+    """Return whether the units admitted since the last report affect what others may admit."""
     if share.is_short:
         return True
     if share.count.total == share.count.told and share.has_word:
         return False
     if not calm or not share.has_word:
         return True
-    # All siblings together then spend at most half of what is left before it is told.
+    # This way all siblings together spend at most half of the remaining units before reporting.
     return share.count.total - share.count.told > max(share.level, 0.0) / (2 * max(siblings, 1))
--- a/sparline/quotas/_level.py
+++ b/sparline/quotas/_level.py
@@ -1,8 +1,9 @@
-"""How much of one quota is left, as the account holder of a region knows it.
+"""Remaining level of one quota, as estimated by the quota coordinator of a region.
 
-What the other regions admit is told a way and a round late, so it is taken to go on as it was, and put
-right by their next word. A region that has fallen silent is taken to use its part of the quota, whatever
-it did before: it takes the same of this one, and both together stay within it.
+What other regions admit is known only after a network delay and a gossip round, so their use is
+extrapolated at its recent rate and corrected by their next update. A silent region is assumed to use its
+share of the quota, whatever it used before: it assumes the same of this region, so that both together
+stay within the quota.
 """
 
 import math
@@ -11,50 +12,53 @@
 from sparline._ids import RegionName
 from sparline.quotas._terms import Terms
 
-# What a region used counts for so long in what it is taken to use (ms): two rounds, whose words may come
-# close together.
+# Time constant of the decay of a region's reported use in its extrapolated rate (ms): two gossip rounds,
+# since their updates may arrive close together.
 RATE_MS = 500.0
 MS_PER_S = 1000.0
 
 
 @dataclass(slots=True)
 class _Elsewhere:
-    """Hold what is known of another region's use."""
+    """Track the reported and assumed use of another region."""
 
-    lately: float = 0.0  # units that it told of, fading
-    assumed: float = 0.0  # units taken off the level since its last word
-    told_at_ms: float | None = None  # when it last told, None for never
-    is_silent: bool = False  # whether it has fallen silent since
-    left: float = 0.0  # level at its last word
+    lately: float = 0.0  # reported units, decaying exponentially
+    assumed: float = 0.0  # units subtracted from the level since its last update
+    told_at_ms: float | None = None  # time of its last update, None without one
+    is_silent: bool = False  # whether it has become silent since then
+    left: float = 0.0  # level at its last update
 
     def rate_per_s(self) -> float:
-        """Return what it is taken to use a second."""
+        """Return its extrapolated use in units per second."""
         return self.lately / RATE_MS * MS_PER_S
 
 
 class FleetLevel:
-    """Follow one quota; every method moves it on to the time that it is given."""
+    """Estimate the remaining level of one quota across all regions.
+
+    `at` advances the level to the given time; call it before `use` and `take_word`.
+    """
 
     def __init__(self, terms: Terms, level: float, now: float) -> None:
-        """Start from a level."""
+        """Start from the given level at the time `now`."""
         self._terms = terms
         self._level = level
         self._at_ms = now
         self._elsewhere: dict[RegionName, _Elsewhere] = {}
 
     def change(self, terms: Terms) -> None:
-        """Go on by other terms; what is over the new burst is lost."""
+        """Switch to other refill parameters; units above the new upper bound are discarded."""
         self._terms = terms
         self._level = min(self._level, terms.most)
 
     def use(self, units: float) -> None:
-        """Take off what was admitted in the own region; below zero is given back."""
+        """Subtract units admitted in the own region; negative units are returned to the quota."""
         self._level = min(self._level - units, self._terms.most)
 
     def at(self, now: float, silent_parts: dict[RegionName, float]) -> float:
-        """Return the level.
+        """Advance the level to `now` and return it.
 
-        `silent_parts` names the regions that say nothing, with their parts of the quota.
+        `silent_parts` maps each silent region to its share of the quota.
         """
         elapsed_s = max(now - self._at_ms, 0.0) / MS_PER_S
         self._at_ms = max(now, self._at_ms)
@@ -68,7 +72,7 @@
         return self._level
 
     def _assume(self, region: RegionName, silent_part: float | None, elapsed_s: float) -> float:
-        """Return what a region is taken to have used since the last look."""
+        """Return the units a region is assumed to have used in the elapsed time."""
         known = self._elsewhere.setdefault(region, _Elsewhere())
         part = 1.0 if silent_part is None else silent_part
         rate_per_s = part * self._terms.per_s
@@ -76,14 +80,14 @@
             rate_per_s = min(known.rate_per_s(), rate_per_s)
         used = rate_per_s * elapsed_s
         if silent_part is not None and not known.is_silent:
-            # It may have used its part of what was saved up before it was missed.
+            # It may have used its share of the accumulated level before its silence was detected.
             known.is_silent = True
             used += silent_part * max(known.left, 0.0)
         known.assumed += used
         return used
 
     def take_word(self, region: RegionName, units: float, now: float) -> None:
-        """Put right what a region was taken to use, by what it has used since its last word."""
+        """Replace the assumed use of a region by the units it reports since its last update."""
         known = self._elsewhere.setdefault(region, _Elsewhere())
         self._level = min(self._level + known.assumed - units, self._terms.most)
         known.assumed = 0.0
--- a/sparline/quotas/_terms.py
+++ b/sparline/quotas/_terms.py
@@ -1,4 +1,4 @@
-"""What a quota allows, and what part of the operators' tolerance is used."""
+"""Refill parameters of a quota, including the part of the operators' tolerance that is used."""
 
 from dataclasses import dataclass
 
@@ -6,24 +6,25 @@
 from sparline._ids import OrganisationId
 from sparline.routes import Quota
 
-# Part of what operators bear over a quota that is let through: callers at their limit lose nothing by
-# news that are late. The rest is for what is admitted before news arrive.
+# Fraction of the operators' tolerance over a quota that is added to its burst, so that callers at their
+# limit lose nothing to late updates. The rest covers what is admitted before updates arrive.
 ROOM_USED = 0.1
-# Part of a burst that is there where nothing is known and nothing is borne: the first request is let in.
+# Fraction of the burst that is available initially when prior use is unknown and there is no tolerance,
+# so that the first request is admitted.
 FIRST_PART = 0.1
 KEY_BITS = 0xFFFF_FFFF
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaBounds:
-    """Say what operators bear over a quota."""
+    """Define how far operators tolerate use above a quota."""
 
-    window_s: float = 1.0  # length of the window in which they count
-    excess: float = 0.0  # part of what a quota allows in a window
-    slack: float = 0.0  # units beyond that
+    window_s: float = 1.0  # length of the window in which use is measured
+    excess: float = 0.0  # tolerated excess, as a fraction of what a quota allows in a window
+    slack: float = 0.0  # tolerated units in addition to that
 
     def room(self, quota: Quota) -> float:
-        """Return the units that are borne over a quota in a window."""
+        """Return the units tolerated above a quota in a window."""
         return self.excess * (quota.per_s * self.window_s + quota.burst) + self.slack
 
 
@@ -32,19 +33,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """Hold what a level moves by."""
+    """Define the refill parameters of a quota's token bucket."""
 
-    per_s: float  # units that come each second
-    most: float  # highest level
-    first: float  # level where nothing is known of what was admitted before
+    per_s: float  # units added each second
+    most: float  # upper bound of the level
+    first: float  # initial level when prior use is unknown
 
 
 def make_terms(quota: Quota, bounds: QuotaBounds) -> Terms:
-    """Return the terms of a quota; a first level within the tolerance is no second burst."""
+    """Return the refill parameters of a quota.
+
+    The initial level stays within the tolerance, so that a restart doesn't grant a second burst.
+    """
     used = ROOM_USED * bounds.room(quota)
     return Terms(quota.per_s, quota.burst + used, max(used, FIRST_PART * quota.burst))
 
 
 def quota_key(organisation: OrganisationId) -> int:
-    """Return the short name of an organisation in what instances tell each other."""
+    """Return the compact key that identifies an organisation in messages between instances."""
     return hash64(f"quota/{organisation}") & KEY_BITS
