--- a/sparline/quarantine/__init__.py
+++ b/sparline/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Quarantine: requests under which one backend server after the other ends are sent nowhere."""
+"""Quarantine of requests that repeatedly crash the backend servers that run them."""
 
 from sparline.quarantine._crash_table import (
     MOST_ENDS,
--- a/sparline/quarantine/_crash_table.py
+++ b/sparline/quarantine/_crash_table.py
@@ -1,8 +1,7 @@
-"""Which backend servers have ended under which requests, as far as the fleet knows.
+"""Table of backend server crashes by the request that was running.
 
-Facts of several instances are merged as sets, so that it does not matter who tells what, how often
-and in which order. A whole answer excuses the ends before it: a request that ends whatever runs it
-never has one.
+Facts of several instances are merged as sets, so that source, repetition and order don't matter. A
+complete answer clears the crashes before it: a request that crashes every server never gets one.
 """
 
 import random
@@ -16,80 +15,82 @@
 from sparline._ids import BackendServerId
 from sparline.quarantine._digest import RequestDigest
 
-# Ends from which on a request is a suspect: what runs beside others on two servers that end one after
-# the other is mostly innocent, so it may still be sent, once a try (count).
+# Crashes that make a request a suspect. A request that ran beside others on two servers that
+# crashed one after the other is mostly not the cause, so it may still be sent, but only once per
+# try.
 SUSPECT_ENDS = 2
-# Ends from which on it is sent nowhere (count): operators bear three.
+# Crashes that put a request in quarantine: operators tolerate three.
 MOST_ENDS = 3
-# A request in quarantine is tried again, as a suspect, after this long (ms), twice as long with each
-# further end. A wrong suspicion costs one caller one request for that time; a right one costs an engine
-# with all that runs there, and its cold start.
+# After this long (ms), doubled with each further crash, a request in quarantine is tried again as a
+# suspect. A false positive fails one caller's request for that time; trying a request that does
+# crash servers costs an engine with everything that runs there, and its cold start.
 QUARANTINE_MS = 120_000.0
 LONGEST_QUARANTINE_MS = 3_600_000.0
-# What is known of a request that nothing has ended under for so long is forgotten (ms).
+# The record of a request without a new crash for this long is dropped (ms).
 KEPT_MS = 600_000.0
-# Requests that are remembered (count): some 0.5 kB each. Beyond that a tenth goes at a time, those with
-# the fewest ends first, so that a loss of many servers at once pushes no suspect out.
+# Most records kept, at some 0.5 kB each. Above that a tenth is evicted at a time, those with the
+# fewest crashes first, so that the loss of many servers at once evicts no suspect.
 MOST_RECORDS = 2_560
 PUSHED_OUT_SHARE = 0.1
-# A request that was answered whole here so lately is sound (ms): callers that all ask the same have it
-# on every server that is lost in one moment, and are not to be turned away for it.
+# A request that was answered completely here within this time is not blamed for crashes (ms): when
+# many callers send the same request, it runs on every server of a simultaneous loss without being
+# the cause.
 SOUND_MS = 60_000.0
-# Whole answers that are remembered for that (count): some 0.15 kB each.
+# Most complete answers remembered for that, at some 0.15 kB each.
 MOST_SOUND = 2_048
-# Ends of one request that are remembered (count): more than the longest quarantine needs.
+# Most crashes remembered for one request: more than the longest quarantine needs.
 MOST_KEPT_ENDS = 12
 START_KEY_BITS = 0xFFFF_FFFF
 
 
 class Verdict(Enum):
-    """Say what may be done with a request."""
+    """Classify how a request may be sent."""
 
-    CLEAR = "clear"  # nothing speaks against it
-    SUSPECT = "suspect"  # it is sent once a try, beside as few others as can be
-    QUARANTINED = "quarantined"  # it is sent to no backend server
+    CLEAR = "clear"  # sent without restriction
+    SUSPECT = "suspect"  # sent once, to a server with as few others as possible
+    QUARANTINED = "quarantined"  # not sent to any backend server
 
 
 class Learnt(Enum):
-    """Say how an instance came to know something."""
+    """Name the source of a crash fact."""
 
-    HERE = "here"  # from its own connections
-    PEER = "peer"  # from another instance
+    HERE = "here"  # this instance's own connections
+    PEER = "peer"  # another instance
 
 
 @dataclass(frozen=True, slots=True)
 class CrashFact:
-    """Tell which servers have ended under one request."""
+    """Represent the server crashes attributed to one request."""
 
-    digest: RequestDigest  # the request
-    ended: frozenset[int]  # keys of the starts of servers that ended
-    cleared: frozenset[int]  # those of them that a whole answer has excused
-    age_ms: float  # how long ago the newest of them ended
+    digest: RequestDigest  # content digest of the request
+    ended: frozenset[int]  # keys of the server runs that crashed
+    cleared: frozenset[int]  # those of them cleared by a complete answer
+    age_ms: float  # time since the newest crash
 
 
 @dataclass(frozen=True, slots=True)
 class CrashChange:
-    """Hold what has changed in what is known of one request."""
+    """Represent a change in the record of one request."""
 
-    fact: CrashFact  # as it stands now
-    ends: int  # ends that count now
-    ends_before: int  # ends that counted before
-    learnt: Learnt  # from whom
+    fact: CrashFact  # state after the change
+    ends: int  # crashes not cleared after the change
+    ends_before: int  # crashes not cleared before the change
+    learnt: Learnt  # source of the change
 
     @property
     def concerns_suspect(self) -> bool:
-        """Tell whether every instance should know at once."""
+        """Return whether every instance should be informed at once."""
         return len(self.fact.ended) >= SUSPECT_ENDS
 
 
 @dataclass(slots=True)
 class _Record:
-    """Hold what is known of one request."""
+    """Hold the crashes attributed to one request."""
 
-    ended: set[int] = field(default_factory=set)  # keys of starts
-    cleared: set[int] = field(default_factory=set)  # those that a whole answer has excused
-    ended_at_ms: float = 0.0  # when the newest end was
-    changed_at_ms: float = 0.0  # when this instance last learnt something
+    ended: set[int] = field(default_factory=set)  # keys of the server runs that crashed
+    cleared: set[int] = field(default_factory=set)  # those cleared by a complete answer
+    ended_at_ms: float = 0.0  # time of the newest crash
+    changed_at_ms: float = 0.0  # time of the last change in this instance
 
     @property
     def ends(self) -> int:
@@ -97,40 +98,40 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Tell whether it has been a suspect; one that was cleared is still told of."""
+        """Return whether it was ever a suspect; peers are still informed of a cleared one."""
         return len(self.ended) >= SUSPECT_ENDS
 
 
 class CrashTable:
-    """Count the ends under requests, bounded in memory."""
+    """Count server crashes by request, with bounded memory."""
 
     def __init__(
         self,
         on_change: Callable[[CrashChange], None] = lambda _change: None,
         on_pushed_out: Callable[[RequestDigest, int], None] = lambda _digest, _ends: None,
     ) -> None:
-        """Start with nothing.
+        """Create an empty table.
 
-        `on_change` is told of each change, `on_pushed_out` of each suspect that found no room any
-        more, with its ends.
+        `on_change` is called with each change, `on_pushed_out` with the digest and crash count of
+        each evicted suspect.
         """
         self._records: dict[RequestDigest, _Record] = {}
-        self._sound: OrderedDict[RequestDigest, float] = OrderedDict()  # last whole answers
+        self._sound: OrderedDict[RequestDigest, float] = OrderedDict()  # last complete answers
         self._on_change = on_change
         self._on_pushed_out = on_pushed_out
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether nothing speaks against any request, so that no digest has to be worked out."""
+        """Return whether there is no record, so that computing a digest can be skipped."""
         return not self._records
 
     def ends(self, digest: RequestDigest) -> int:
-        """Return how many ends under a request count."""
+        """Return the number of a request's crashes that are not cleared."""
         record = self._records.get(digest)
         return record.ends if record else 0
 
     def verdict(self, digest: RequestDigest) -> Verdict:
-        """Return what may be done with a request now."""
+        """Return how a request may be sent now."""
         record = self._records.get(digest)
         if record is None or record.ends < SUSPECT_ENDS:
             return Verdict.CLEAR
@@ -139,7 +140,7 @@
         return Verdict.SUSPECT
 
     def quarantine_left_ms(self, digest: RequestDigest) -> float:
-        """Return how much longer a request is sent nowhere."""
+        """Return the remaining quarantine of a request (ms)."""
         record = self._records.get(digest)
         return self._quarantine_left_ms(record) if record else 0.0
 
@@ -149,20 +150,20 @@
         return max(record.ended_at_ms + _quarantine_ms(record.ends) - now_ms(), 0.0)
 
     def quarantined(self) -> int:
-        """Return how many requests are sent nowhere."""
+        """Return the number of requests in quarantine."""
         return sum(self._quarantine_left_ms(one) > 0 for one in self._records.values())
 
     def note_end(
         self, digest: RequestDigest, server_id: BackendServerId, learnt: Learnt = Learnt.HERE
     ) -> None:
-        """Note that a server ended while it may have run a request."""
+        """Record that a server crashed while it may have been running a request."""
         if self._is_sound(digest):
             return
         fact = CrashFact(digest, frozenset((start_key(server_id),)), frozenset(), 0.0)
         self._merge(fact, learnt)
 
     def note_whole(self, digest: RequestDigest) -> None:
-        """Note that a server has answered a request to the end."""
+        """Record that a server has answered a request completely."""
         self._sound[digest] = now_ms()
         self._sound.move_to_end(digest)
         if len(self._sound) > MOST_SOUND:
@@ -171,7 +172,7 @@
         if record is None:
             return
         if not record.is_suspect:
-            # Nobody is careful with it, and nobody has to be told.
+            # It was never restricted, so peers need no update.
             del self._records[digest]
             return
         self._merge(CrashFact(digest, frozenset(), frozenset(record.ended), 0.0), Learnt.HERE)
@@ -181,12 +182,12 @@
         return answered_at_ms is not None and now_ms() - answered_at_ms < SOUND_MS
 
     def take(self, facts: Iterable[CrashFact]) -> list[CrashChange]:
-        """Take in what a peer told; return what was news."""
+        """Merge facts from a peer; return the resulting changes."""
         changes = [self._merge(self._excused(fact), Learnt.PEER) for fact in facts]
         return [one for one in changes if one is not None]
 
     def _excused(self, fact: CrashFact) -> CrashFact:
-        """Return a peer's fact; what is known to be sound here is excused."""
+        """Return a peer's fact, with its crashes cleared if the request was recently answered."""
         return replace(fact, cleared=fact.ended) if self._is_sound(fact.digest) else fact
 
     def _merge(self, fact: CrashFact, learnt: Learnt) -> CrashChange | None:
@@ -211,7 +212,7 @@
         return change
 
     def _bound(self, newest: RequestDigest) -> None:
-        """Push out what matters least where there is too much, never the newest."""
+        """Evict the records with the fewest crashes when there are too many, never the newest."""
         if len(self._records) <= MOST_RECORDS:
             return
         order = sorted(
@@ -224,11 +225,11 @@
                 self._on_pushed_out(digest, ends)
 
     def facts(self, most: int, singles_ms: float, suspects_ms: float) -> list[CrashFact]:
-        """Return what is to be told: what has changed lately.
+        """Return the recently changed facts to send to peers, at most `most`.
 
-        Where that is more than `most`, half of it are those with the most ends, and the others take
-        turns by chance. `singles_ms` and `suspects_ms` say what counts as lately, for requests with one end and with
-        more.
+        When there are more, half of them are those with the most crashes and the others are a
+        random sample. `singles_ms` and `suspects_ms` are the maximum age of a change, for requests
+        with one crash and with more.
         """
         now = now_ms()
         told = [
@@ -243,7 +244,7 @@
         return [_fact_of(digest, one, now) for digest, one in told]
 
     def forget_old(self) -> None:
-        """Forget requests that nothing has ended under for long."""
+        """Drop the records of requests without recent crashes."""
         now = now_ms()
         self._records = {
             digest: one
@@ -253,7 +254,7 @@
 
 
 def start_key(server_id: BackendServerId) -> int:
-    """Return the short name of a server's start, the same in each instance."""
+    """Return a compact key of one server run, equal in each instance."""
     return hash64(server_id) & START_KEY_BITS
 
 
@@ -264,7 +265,7 @@
 
 
 def _cut(record: _Record) -> None:
-    """Bound what is remembered of one request; excused ends go first."""
+    """Bound the crashes remembered for one request, dropping cleared ones first."""
     excess = len(record.ended) - MOST_KEPT_ENDS
     if excess <= 0:
         return
--- a/sparline/quarantine/_digest.py
+++ b/sparline/quarantine/_digest.py
@@ -1,21 +1,21 @@
-"""What a request and its repeats have in common."""
+"""Content digests that identify a request and its repeats."""
 
 import hashlib
 from collections.abc import Iterable
 from typing import NewType
 
-# Names a request by its content, the same for each repeat and in each instance.
+# Identifies a request by its content: equal for each repeat and in each instance.
 RequestDigest = NewType("RequestDigest", bytes)
 
-# Long enough that nobody can make two contents of one digest (bytes).
+# Long enough that nobody can construct two contents with the same digest.
 DIGEST_BYTES = 16
-# Digits of a digest in log lines (hexadecimal).
+# Hexadecimal digits of a digest in log lines.
 LOGGED_DIGITS = 16
 LENGTH_BYTES = 8
 
 
 def digest_of(parts: Iterable[bytes]) -> RequestDigest:
-    """Return the digest of a request's parts; where one part ends matters."""
+    """Return the digest of a request's parts; moving bytes between parts changes it."""
     found = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
         found.update(len(part).to_bytes(LENGTH_BYTES, "big"))
@@ -24,5 +24,5 @@
 
 
 def logged(digest: RequestDigest) -> str:
-    """Return a digest as log lines name it."""
+    """Return the shortened digest for log lines."""
     return digest.hex()[:LOGGED_DIGITS]
--- a/sparline/quarantine/_notes.py
+++ b/sparline/quarantine/_notes.py
@@ -1,4 +1,4 @@
-"""Facts of crashes as instances tell them to each other."""
+"""Conversion of crash facts to and from the messages between instances."""
 
 from sparline.quarantine._crash_table import CrashFact
 from sparline.quarantine._digest import RequestDigest
@@ -6,12 +6,12 @@
 
 
 def note_of(fact: CrashFact) -> CrashNote:
-    """Return a fact as it is told."""
+    """Convert a fact to its message form."""
     return CrashNote(fact.digest, sorted(fact.ended), sorted(fact.cleared), round(fact.age_ms))
 
 
 def fact_of(note: CrashNote) -> CrashFact:
-    """Return what a peer told."""
+    """Convert a peer's message to a fact."""
     return CrashFact(
         RequestDigest(note.digest), frozenset(note.ended), frozenset(note.cleared), note.age_ms
     )
--- a/sparline/quarantine/_server_ends.py
+++ b/sparline/quarantine/_server_ends.py
@@ -1,8 +1,8 @@
-"""Whether a backend server that broke an answer off has ended, or goes on.
+"""Detection of whether a backend server that aborted an answer has terminated or still runs.
 
-A port that refuses shows an end at once, and an entry that goes from the store shows it later. Where a
-supervisor holds the port and the store is silent, the other connections tell: a process that ends loses
-all of them, one that loses an answer keeps them.
+A refused connection shows a termination at once, and the removal of the store entry shows it later.
+When a supervisor keeps the port open and the store has no update, the other connections decide: a
+process that terminates loses all of them, one that only aborts an answer keeps them.
 """
 
 from collections import OrderedDict
@@ -17,20 +17,21 @@
 from sparline._ids import BackendServerId
 from sparline.quarantine._digest import RequestDigest
 
-# A server in the own region takes or refuses a connection within a few milliseconds; one that does
-# neither by then may be behind a cut (ms).
+# Timeout of a probe (ms). A server in the own region accepts or refuses a connection within a few
+# milliseconds; one that does neither within this time may be unreachable because of a network
+# partition.
 PROBE_MS = 300.0
-# What a probe showed holds for all answers that broke off with the one that was probed for (ms).
+# A refused probe is reused for this long, for other answers that the server aborted together (ms).
 SHOWN_MS = 500.0
-# A server that is gone from the store this long after a break may have ended with it (ms): three
-# heartbeats of silence, and the store's delay.
+# A server whose store entry is removed within this time after an aborted answer may have terminated
+# with it (ms): three missed heartbeats and the delay of the store.
 GONE_AFTER_MS = 15_000.0
-# Broken answers that wait for word of their servers (count).
+# Most aborted answers awaiting a store update about their servers.
 MOST_WAITING = 1_024
-# A request whose answer broke off unexplained is watched for this long when it comes again (ms): callers
-# repeat within their deadlines.
+# Repeats of a request are watched for this long after an unexplained aborted answer (ms): callers
+# retry within their deadlines.
 DOUBTED_MS = 60_000.0
-# Requests that are watched (count): some 0.15 kB each.
+# Most watched requests, at some 0.15 kB each.
 MOST_DOUBTED = 1_024
 
 
@@ -38,61 +39,61 @@
 
 
 class Reach(Enum):
-    """Say what became of a try to connect."""
+    """Classify the result of a connection attempt."""
 
-    OPEN = "open"  # something listens there
-    REFUSED = "refused"  # a machine answers, and nothing listens
-    UNKNOWN = "unknown"  # no answer
+    OPEN = "open"  # a process is listening
+    REFUSED = "refused"  # the machine responds, but no process is listening
+    UNKNOWN = "unknown"  # no response
 
 
 class EndSign(Enum):
-    """Name what showed that a server has ended."""
+    """Name the evidence that a server has terminated."""
 
-    REFUSED = "refused"  # nothing listens at its address
-    GONE = "gone"  # its entry went, after a break and silence
-    WITNESSED = "witnessed"  # it lost every connection at once
+    REFUSED = "refused"  # no process is listening at its address
+    GONE = "gone"  # its store entry was removed after an aborted answer and silence
+    WITNESSED = "witnessed"  # it lost all connections at once
 
 
 @dataclass(frozen=True, slots=True)
 class BrokenAnswer:
-    """Hold a break that no probe could explain."""
+    """Represent an aborted answer that no probe could explain."""
 
-    digest: RequestDigest  # request whose answer it was
-    server_id: BackendServerId  # server that broke it off
-    broke_at_ms: float  # when
+    digest: RequestDigest  # request that was being answered
+    server_id: BackendServerId  # server that aborted the answer
+    broke_at_ms: float  # time of the abort
 
 
 @dataclass(frozen=True, slots=True)
 class EndParts:
-    """Hold what the search for ends works with."""
+    """Hold the dependencies of the termination detection."""
 
-    probe: Callable[[Address, float], Reach]  # tries to connect, for some seconds
-    heard_at_ms: Callable[[BackendServerId], float]  # when a server last sent anything
-    note_unreachable: Callable[[BackendServerId], None]  # takes what a probe showed
-    on_end: Callable[[BackendServerId, EndSign], None]  # counters and log
+    probe: Callable[[Address, float], Reach]  # tries to connect, with a timeout in seconds
+    heard_at_ms: Callable[[BackendServerId], float]  # time when a server last sent anything
+    note_unreachable: Callable[[BackendServerId], None]  # called when a probe was refused
+    on_end: Callable[[BackendServerId, EndSign], None]  # called for metrics and logging
 
 
 class Witness(Protocol):
-    """Watch a server from beside a request: another connection to it."""
+    """Represent another connection to a server, which shows whether the server still runs."""
 
     def is_lost(self) -> bool:
-        """Tell whether the server has ended the connection."""
+        """Return whether the server has closed the connection."""
         ...
 
 
 class ServerEnds:
-    """Find out whether servers have ended: at once by their connections, later by the store."""
+    """Detect terminated servers: at once by their connections, later by the store."""
 
     def __init__(self, parts: EndParts) -> None:
-        """Start with no server in doubt."""
+        """Start without any aborted answer."""
         self._parts = parts
         self._probes: dict[BackendServerId, AsyncResult] = {}
         self._shown: OrderedDict[BackendServerId, tuple[Reach, float]] = OrderedDict()
         self._waiting: OrderedDict[BrokenAnswer, None] = OrderedDict()
-        self._doubted: OrderedDict[RequestDigest, float] = OrderedDict()  # newest breaks
+        self._doubted: OrderedDict[RequestDigest, float] = OrderedDict()  # time of the newest abort
 
     def reach(self, server_id: BackendServerId, address: Address) -> Reach:
-        """Return whether a server that has just broken an answer off still listens."""
+        """Return whether a server that has just aborted an answer still accepts connections."""
         shown, at_ms = self._shown.get(server_id, (Reach.UNKNOWN, 0.0))
         if shown is Reach.REFUSED and now_ms() - at_ms < SHOWN_MS:
             return shown
@@ -104,7 +105,7 @@
         try:
             found = self._parts.probe(address, PROBE_MS / 1000)
         finally:
-            # Also where this greenlet is ended: others wait for the result.
+            # Runs also when this greenlet is killed, since others wait for the result.
             del self._probes[server_id]
             result.set(found)
         self._note(server_id, found)
@@ -121,9 +122,10 @@
     def witnessed_end(
         self, server_id: BackendServerId, witnesses: Sequence[Witness]
     ) -> BackendServerId | None:
-        """Return a name for the start that ended, None where a connection goes on or none was there.
+        """Return an id of the terminated server run, None without evidence of a termination.
 
-        The server's own name may live on: whoever holds its port may start it again under that.
+        The evidence is that there were other connections and all are lost. The server's own id may
+        be reused: the supervisor that holds its port may restart it under that id.
         """
         if not witnesses or not all(one.is_lost() for one in witnesses):
             return None
@@ -132,18 +134,18 @@
 
     @property
     def has_doubts(self) -> bool:
-        """Tell whether any request is watched, so that its digest has to be worked out."""
+        """Return whether any request is watched, so that digests have to be computed."""
         since = now_ms() - DOUBTED_MS
         while self._doubted and next(iter(self._doubted.values())) < since:
             self._doubted.popitem(last=False)
         return bool(self._doubted)
 
     def is_doubted(self, digest: RequestDigest) -> bool:
-        """Tell whether an answer to a request broke off lately and nothing has explained it."""
+        """Return whether an answer to a request was recently aborted without an explanation."""
         return self._doubted.get(digest, 0.0) > now_ms() - DOUBTED_MS
 
     def wait_for_word(self, digest: RequestDigest, server_id: BackendServerId) -> None:
-        """Remember a break until the store tells what became of the server."""
+        """Remember an aborted answer until the store shows whether the server has terminated."""
         self._doubted[digest] = now_ms()
         self._doubted.move_to_end(digest)
         if len(self._doubted) > MOST_DOUBTED:
@@ -153,7 +155,7 @@
             self._waiting.popitem(last=False)
 
     def note_gone(self, server_id: BackendServerId) -> list[RequestDigest]:
-        """Return the requests that a server, which is gone now, took with it."""
+        """Return the requests whose aborted answers are explained by the removal of a server."""
         mine = [one for one in self._waiting if one.server_id == server_id]
         for one in mine:
             del self._waiting[one]
