--- a/sparline/quotas/__init__.py
+++ b/sparline/quotas/__init__.py
@@ -1,9 +1,9 @@
 """Fleet-wide quotas of organisations, enforced by message exchange without shared storage.
 
-One instance of each region, the quota coordinator, adds up what the region's instances have admitted
-and answers their reports with the remaining quota; coordinators exchange their regions' totals. An
-instance without a coordinator, and a region cut off from another, continue with their own share of the
-quota.
+One instance of each region, the quota coordinator, adds up what the region's instances have
+admitted and answers their reports with the remaining quota; coordinators exchange their regions'
+totals. An instance without a coordinator, and a region cut off from another, continue with their
+own share of the quota.
 """
 
 from sparline.quotas._account import Account, RegionTotal
--- a/sparline/quotas/_account.py
+++ b/sparline/quotas/_account.py
@@ -8,16 +8,17 @@
 from sparline.quotas._level import FleetLevel
 from sparline.quotas._terms import Terms
 
-# A region is silent when its coordinator was not heard from for this long (ms): a gossip round, the network
-# delay and a margin.
+# A region is silent when its coordinator was not heard from for this long (ms): a gossip round, the
+# network delay and a margin.
 SILENT_MS = 450.0
-# A changed total is repeated in each gossip round for this long (ms), so that it still arrives after a
-# network partition.
+# A changed total is repeated in each gossip round for this long (ms), so that it still arrives
+# after a network partition.
 TOLD_AGAIN_MS = 12_000.0
 # Most totals in a datagram, the newest first: at some 12 bytes each it stays below 1,400 bytes.
 MOST_TOLD = 90
-# When little quota is left, totals are sent at once. The least interval grows with the number of regions
-# (ms for each), so that a coordinator receives at most a hundred messages a second from all others.
+# When little quota is left, totals are sent at once. The least interval grows with the number of
+# regions (ms for each), so that a coordinator receives at most a hundred messages a second from all
+# others.
 PRESSED_MS_A_REGION = 10.0
 PRESSED_LEAST_MS = 60.0
 # Quotas without use and instances without reports for this long are dropped (ms).
@@ -57,8 +58,9 @@
     ) -> None:
         """Create the aggregate of a region.
 
-        `terms_of` returns the refill parameters of a quota by its key, None for an unknown key; `parts`
-        returns the share of each region in a quota, by the instances that may admit requests there.
+        `terms_of` returns the refill parameters of a quota by its key, None for an unknown key;
+        `parts` returns the share of each region in a quota, by the instances that may admit
+        requests there.
         """
         self._region = region
         self._terms_of = terms_of
@@ -103,7 +105,7 @@
         return left
 
     def is_word_due(self, now: float) -> bool:
-        """Return whether totals should be sent to other regions without waiting for the next round."""
+        """Return whether totals should be sent to other regions before the next gossip round."""
         regions = len(self._heard_at_ms) + 1
         since_ms = now - self._told_at_ms
         return self._is_pressed and since_ms >= max(PRESSED_LEAST_MS, PRESSED_MS_A_REGION * regions)
@@ -111,7 +113,8 @@
     def _keep(self, key: int, terms: Terms, told: float | None, now: float) -> _Kept:
         kept = self._kept.get(key)
         if kept is None:
-            # The previous coordinator is gone; instances still hold the level that it last reported.
+            # The previous coordinator is gone; instances still hold the level that it last
+            # reported.
             first = terms.first * self._parts().get(self._region, 1.0)
             level = first if told is None else min(told, terms.most)
             total = self._totals.get(key, 0.0)
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -9,19 +9,20 @@
 from sparline.quotas._terms import QuotaBounds, Terms, make_terms, quota_key
 from sparline.routes import Organisation
 
-# Admitted units are reported at this interval while much quota is left (ms), and at once when little is
-# left. The least interval grows with the number of instances in the region (ms for each), so that the
-# coordinator receives no more than some hundred reports a second from all of them.
+# Admitted units are reported at this interval while much quota is left (ms), and at once when
+# little is left. The least interval grows with the number of instances in the region (ms for each),
+# so that the coordinator receives no more than some hundred reports a second from all of them.
 CALM_MS = 1_000.0
 PRESSED_MS_AN_INSTANCE = 3.0
 PRESSED_LEAST_MS = 20.0
-# The coordinator counts as gone when a report is unanswered for this long (ms), a few times the network
-# delay within a region.
+# The coordinator counts as gone when a report is unanswered for this long (ms), a few times the
+# network delay within a region.
 ANSWER_MS = 700.0
 # A report is sent again when it is unanswered for this long (ms).
 AGAIN_MS = 200.0
 # For this long after an answer the refill of the whole fleet is credited here, afterwards only this
-# instance's share (ms): other instances use the quota too, and a stopped coordinator sends no updates.
+# instance's share (ms): other instances use the quota too, and a stopped coordinator sends no
+# updates.
 FRESH_MS = 150.0
 # An answer older than this is ignored, since the use by others since then is unknown (ms).
 WORD_MS = 3_000.0
@@ -29,8 +30,8 @@
 REMEMBERED_MS = 10_000.0
 # An organisation without requests for this long is dropped (ms).
 IDLE_MS = 60_000.0
-# Callers over the quota are told to retry once it has refilled. The delay is multiplied by a random factor
-# from this range, so that retries don't coincide, and bounded by these delays (ms).
+# Callers over the quota are told to retry once it has refilled. The delay is multiplied by a random
+# factor from this range, so that retries don't coincide, and bounded by these delays (ms).
 SPREAD = (1.0, 1.5)
 LEAST_WAIT_MS = 50.0
 MOST_WAIT_MS = 10_000.0
@@ -72,8 +73,8 @@
 class _Count:
     """Count the units admitted against one quota since the instance started.
 
-    It is kept when the share is dropped: the coordinator remembers the total, and would take a total that
-    restarts from zero for returned units.
+    It is kept when the share is dropped: the coordinator remembers the total, and would take a
+    total that restarts from zero for returned units.
     """
 
     total: float = 0.0  # units admitted
@@ -123,8 +124,8 @@
         """Return None when a request is admitted, else the delay before a retry (ms).
 
         A request may cost more than the remaining units: the level becomes negative, and nothing is
-        admitted until it has refilled. `instances` is the number of instances that share the quota evenly
-        while there is no answer from a coordinator.
+        admitted until it has refilled. `instances` is the number of instances that share the quota
+        evenly while there is no answer from a coordinator.
         """
         if organisation.quota is None:
             return None
@@ -170,7 +171,7 @@
         share.at_ms = max(now, share.at_ms)
 
     def _elapsed(self, share: _Share, now: float) -> tuple[float, float]:
-        """Return the time since the last update, split by whether the last answer was fresh (ms)."""
+        """Return the time since the last update while the answer was fresh, and after it (ms)."""
         elapsed_ms = max(now - share.at_ms, 0.0)
         if not share.has_word:
             return 0.0, elapsed_ms
@@ -226,7 +227,7 @@
         return oldest is not None and now - oldest.at_ms > ANSWER_MS
 
     def take_word(self, sequence: int, levels: dict[int, float], now: float) -> None:
-        """Apply the coordinator's answer to a report; an answer overtaken by a newer one is ignored."""
+        """Apply the coordinator's answer to a report, unless a newer one has been applied."""
         sent = self._sent.get(sequence)
         if sent is None:
             return
@@ -245,7 +246,7 @@
             share.is_short = False
 
     def forget_idle(self, now: float) -> None:
-        """Drop the state of organisations without requests for `IDLE_MS`, unless they are in debt."""
+        """Drop the state of organisations idle for `IDLE_MS`, unless they are in debt."""
         self._shares = {
             key: one
             for key, one in self._shares.items()
--- a/sparline/quotas/_level.py
+++ b/sparline/quotas/_level.py
@@ -1,9 +1,9 @@
 """Remaining level of one quota, as estimated by the quota coordinator of a region.
 
 What other regions admit is known only after a network delay and a gossip round, so their use is
-extrapolated at its recent rate and corrected by their next update. A silent region is assumed to use its
-share of the quota, whatever it used before: it assumes the same of this region, so that both together
-stay within the quota.
+extrapolated at its recent rate and corrected by their next update. A silent region is assumed to
+use its share of the quota, whatever it used before: it assumes the same of this region, so that
+both together stay within the quota.
 """
 
 import math
@@ -12,8 +12,8 @@
 from sparline._ids import RegionName
 from sparline.quotas._terms import Terms
 
-# Time constant of the decay of a region's reported use in its extrapolated rate (ms): two gossip rounds,
-# since their updates may arrive close together.
+# Time constant of the decay of a region's reported use in its extrapolated rate (ms): two gossip
+# rounds, since their updates may arrive close together.
 RATE_MS = 500.0
 MS_PER_S = 1000.0
 
--- a/sparline/quotas/_terms.py
+++ b/sparline/quotas/_terms.py
@@ -6,11 +6,11 @@
 from sparline._ids import OrganisationId
 from sparline.routes import Quota
 
-# Fraction of the operators' tolerance over a quota that is added to its burst, so that callers at their
-# limit lose nothing to late updates. The rest covers what is admitted before updates arrive.
+# Fraction of the operators' tolerance over a quota that is added to its burst, so that callers at
+# their limit lose nothing to late updates. The rest covers what is admitted before updates arrive.
 ROOM_USED = 0.1
-# Fraction of the burst that is available initially when prior use is unknown and there is no tolerance,
-# so that the first request is admitted.
+# Fraction of the burst that is available initially when prior use is unknown and there is no
+# tolerance, so that the first request is admitted.
 FIRST_PART = 0.1
 KEY_BITS = 0xFFFF_FFFF
 
