--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -12,33 +12,33 @@
 # Admitted units are reported at this interval while much quota is left (ms), and at once when
 # little is left. The least interval grows with the number of instances in the region (ms for each),
 # so that the coordinator receives no more than some hundred reports a second from all of them.
-CALM_MS = 1_000.0
-PRESSED_MS_AN_INSTANCE = 3.0
-PRESSED_LEAST_MS = 20.0
+REPORT_INTERVAL_MS = 1_000.0
+REPORT_INTERVAL_PER_INSTANCE_MS = 3.0
+MIN_REPORT_INTERVAL_MS = 20.0
 # The coordinator counts as gone when a report is unanswered for this long (ms), a few times the
 # network delay within a region.
-ANSWER_MS = 700.0
+ANSWER_TIMEOUT_MS = 700.0
 # A report is sent again when it is unanswered for this long (ms).
-AGAIN_MS = 200.0
+RESEND_AFTER_MS = 200.0
 # For this long after an answer the refill of the whole fleet is credited here, afterwards only this
 # instance's share (ms): other instances use the quota too, and a stopped coordinator sends no
 # updates.
-FRESH_MS = 150.0
+FRESH_ANSWER_MS = 150.0
 # An answer older than this is ignored, since the use by others since then is unknown (ms).
-WORD_MS = 3_000.0
+MAX_ANSWER_AGE_MS = 3_000.0
 # A new coordinator takes over the level of an answer that is not older than this (ms).
-REMEMBERED_MS = 10_000.0
+MAX_HANDOVER_AGE_MS = 10_000.0
 # An organisation without requests for this long is dropped (ms).
 IDLE_MS = 60_000.0
 # Callers over the quota are told to retry once it has refilled. The delay is multiplied by a random
 # factor from this range, so that retries don't coincide, and bounded by these delays (ms).
-SPREAD = (1.0, 1.5)
-LEAST_WAIT_MS = 50.0
-MOST_WAIT_MS = 10_000.0
+RETRY_JITTER = (1.0, 1.5)
+MIN_RETRY_DELAY_MS = 50.0
+MAX_RETRY_DELAY_MS = 10_000.0
 # Most organisations in a report: at some 22 bytes each it stays below 1,400 bytes.
-MOST_USES = 56
+MAX_USES = 56
 # Most reports that may await an answer.
-MOST_OPEN_REPORTS = 16
+MAX_UNANSWERED_REPORTS = 16
 MS_PER_S = 1000.0
 
 
@@ -70,35 +70,35 @@
 
 
 @dataclass(slots=True)
-class _Count:
+class _AdmittedUnits:
     """Count the units admitted against one quota since the instance started.
 
-    It is kept when the share is dropped: the coordinator remembers the total, and would take a
-    total that restarts from zero for returned units.
+    It is kept when the quota state is dropped: the coordinator remembers the total, and would take
+    a total that restarts from zero for returned units.
     """
 
     total: float = 0.0  # units admitted
-    told: float = 0.0  # value of `total` last reported
-    answered: float = 0.0  # value of `total` included in the last answer
+    reported: float = 0.0  # value of `total` last reported
+    acknowledged: float = 0.0  # value of `total` included in the last answer
 
 
 @dataclass(slots=True)
-class _Share:
+class _QuotaState:
     """Hold this instance's state of one organisation's quota."""
 
-    count: _Count  # admitted units
+    admitted: _AdmittedUnits  # admitted units
     terms: Terms  # refill parameters
     level: float  # remaining units, negative when in debt
     at_ms: float  # time of `level`
-    asked_at_ms: float  # time of the last request
-    is_short: bool = False  # whether a request was refused since the last answer
-    has_word: bool = False  # whether the level is the fleet's, not this instance's share
-    word_at_ms: float = float("-inf")  # time of the last answer
-    word_level: float = 0.0  # remaining units by it, less all that this instance admitted
+    requested_at_ms: float  # time of the last request
+    has_refused: bool = False  # whether a request was refused since the last answer
+    has_answer: bool = False  # whether the level is the fleet's, not this instance's share
+    answered_at_ms: float = float("-inf")  # time of the last answer
+    answered_level: float = 0.0  # remaining units by it, less all that this instance admitted
 
 
 @dataclass(slots=True)
-class _Sent:
+class _SentReport:
     """Hold a sent report until it is answered."""
 
     at_ms: float  # time of sending
@@ -108,15 +108,15 @@
 class Allowance:
     """Admit requests by quota; the owner transports reports and answers."""
 
-    def __init__(self, bounds: QuotaBounds, chance: random.Random) -> None:
+    def __init__(self, bounds: QuotaBounds, rng: random.Random) -> None:
         """Start without any answer from a coordinator."""
         self._bounds = bounds
-        self._chance = chance
-        self._shares: dict[int, _Share] = {}
-        self._counts: dict[int, _Count] = {}
-        self._sent: OrderedDict[int, _Sent] = OrderedDict()
+        self._rng = rng
+        self._states: dict[int, _QuotaState] = {}
+        self._admitted: dict[int, _AdmittedUnits] = {}
+        self._unanswered: OrderedDict[int, _SentReport] = OrderedDict()
         self._sequence = 0
-        self._reported_at_ms = 0.0
+        self._last_report_at_ms = 0.0
 
     def admit(
         self, organisation: Organisation, cost: float, instances: int, now: float
@@ -131,150 +131,169 @@
             return None
         key = quota_key(organisation.id)
         terms = make_terms(organisation.quota, self._bounds)
-        share = self._shares.get(key)
-        if share is None:
-            part = terms.first / max(instances, 1)
-            count = self._counts.setdefault(key, _Count())
-            share = self._shares[key] = _Share(count, terms, part, now, now)
-        share.terms = terms
-        share.asked_at_ms = now
-        self._move(share, instances, now)
-        if share.level <= 0:
-            share.is_short = True
-            return self._wait_ms(share, instances)
-        share.level -= cost
-        share.count.total += cost
+        state = self._states.get(key)
+        if state is None:
+            initial_level = terms.first / max(instances, 1)
+            admitted = self._admitted.setdefault(key, _AdmittedUnits())
+            state = self._states[key] = _QuotaState(admitted, terms, initial_level, now, now)
+        state.terms = terms
+        state.requested_at_ms = now
+        self._advance(state, instances, now)
+        if state.level <= 0:
+            state.has_refused = True
+            return self._retry_delay_ms(state, instances)
+        state.level -= cost
+        state.admitted.total += cost
         return None
 
     def is_guess(self, organisation: OrganisationId, now: float) -> bool:
         """Return whether the coordinator's last answer is too old for the level to be exact."""
-        share = self._shares.get(quota_key(organisation))
-        return share is not None and now - share.word_at_ms > FRESH_MS
+        state = self._states.get(quota_key(organisation))
+        return state is not None and now - state.answered_at_ms > FRESH_ANSWER_MS
 
     def settle(self, organisation: OrganisationId, units: float) -> None:
         """Charge more for a request that ran again, or return units that did not run (negative)."""
-        share = self._shares.get(quota_key(organisation))
-        if share is not None:
-            share.level = min(share.level - units, share.terms.most)
-            share.count.total += units
+        state = self._states.get(quota_key(organisation))
+        if state is not None:
+            state.level = min(state.level - units, state.terms.most)
+            state.admitted.total += units
 
-    def _move(self, share: _Share, instances: int, now: float) -> None:
+    def _advance(self, state: _QuotaState, instances: int, now: float) -> None:
         """Advance a level to `now`; without a current answer only this instance's share is used."""
-        if share.has_word and self._is_word_old(share, now):
-            share.has_word = False
-            share.level = min(share.level, share.terms.most / max(instances, 1))
-        parts = max(instances, 1)
-        most = share.terms.most if share.has_word else share.terms.most / parts
-        whole_ms, part_ms = self._elapsed(share, now)
-        gained = share.terms.per_s * (whole_ms + part_ms / parts) / MS_PER_S
-        share.level = min(share.level + gained, max(most, share.level))
-        share.at_ms = max(now, share.at_ms)
-
-    def _elapsed(self, share: _Share, now: float) -> tuple[float, float]:
+        if state.has_answer and self._is_answer_stale(state, now):
+            state.has_answer = False
+            state.level = min(state.level, state.terms.most / max(instances, 1))
+        sharers = max(instances, 1)
+        most = state.terms.most if state.has_answer else state.terms.most / sharers
+        fresh_ms, stale_ms = self._elapsed_ms(state, now)
+        gained = state.terms.per_s * (fresh_ms + stale_ms / sharers) / MS_PER_S
+        state.level = min(state.level + gained, max(most, state.level))
+        state.at_ms = max(now, state.at_ms)
+
+    def _elapsed_ms(self, state: _QuotaState, now: float) -> tuple[float, float]:
         """Return the time since the last update while the answer was fresh, and after it (ms)."""
-        elapsed_ms = max(now - share.at_ms, 0.0)
-        if not share.has_word:
+        elapsed_ms = max(now - state.at_ms, 0.0)
+        if not state.has_answer:
             return 0.0, elapsed_ms
-        whole_ms = min(max(share.word_at_ms + FRESH_MS - share.at_ms, 0.0), elapsed_ms)
-        return whole_ms, elapsed_ms - whole_ms
+        fresh_ms = min(max(state.answered_at_ms + FRESH_ANSWER_MS - state.at_ms, 0.0), elapsed_ms)
+        return fresh_ms, elapsed_ms - fresh_ms
 
-    def _is_word_old(self, share: _Share, now: float) -> bool:
-        if now - share.word_at_ms > WORD_MS:
+    def _is_answer_stale(self, state: _QuotaState, now: float) -> bool:
+        if now - state.answered_at_ms > MAX_ANSWER_AGE_MS:
             return True
         return self.is_unanswered(now)
 
-    def _wait_ms(self, share: _Share, instances: int) -> float:
-        per_s = share.terms.per_s / (1 if share.has_word else max(instances, 1))
-        wait_ms = (1.0 - share.level) / per_s * MS_PER_S
-        return min(max(wait_ms, LEAST_WAIT_MS) * self._chance.uniform(*SPREAD), MOST_WAIT_MS)
+    def _retry_delay_ms(self, state: _QuotaState, instances: int) -> float:
+        per_s = state.terms.per_s / (1 if state.has_answer else max(instances, 1))
+        delay_ms = (1.0 - state.level) / per_s * MS_PER_S
+        return min(
+            max(delay_ms, MIN_RETRY_DELAY_MS) * self._rng.uniform(*RETRY_JITTER), MAX_RETRY_DELAY_MS
+        )
 
     def is_report_due(self, siblings: int, now: float) -> bool:
         """Return whether to report now; `siblings` is the number of instances in the region."""
-        since_ms = now - self._reported_at_ms
-        if since_ms < max(PRESSED_LEAST_MS, PRESSED_MS_AN_INSTANCE * siblings):
+        since_ms = now - self._last_report_at_ms
+        if since_ms < max(MIN_REPORT_INTERVAL_MS, REPORT_INTERVAL_PER_INSTANCE_MS * siblings):
             return False
-        if self._sent and since_ms >= AGAIN_MS:
+        if self._unanswered and since_ms >= RESEND_AFTER_MS:
             # The last report or its answer may have been lost.
             return True
-        calm = since_ms < CALM_MS
-        return any(_matters(one, siblings, calm) for one in self._shares.values())
+        is_within_interval = since_ms < REPORT_INTERVAL_MS
+        return any(
+            _affects_others(one, siblings, is_within_interval) for one in self._states.values()
+        )
 
     def report(self, now: float) -> Report:
         """Create a report of the units admitted since the last one."""
         self._sequence += 1
-        self._reported_at_ms = now
-        sent = _Sent(now)
+        self._last_report_at_ms = now
+        sent = _SentReport(now)
         uses = []
-        for key, share in self._shares.items():
-            if share.count.total == share.count.answered and share.has_word and not share.is_short:
+        for key, state in self._states.items():
+            if (
+                state.admitted.total == state.admitted.acknowledged
+                and state.has_answer
+                and not state.has_refused
+            ):
                 continue
-            if len(uses) >= MOST_USES:
+            if len(uses) >= MAX_USES:
                 break
-            share.count.told = share.count.total
-            sent.totals[key] = share.count.total
-            level = share.word_level if now - share.word_at_ms < REMEMBERED_MS else None
+            state.admitted.reported = state.admitted.total
+            sent.totals[key] = state.admitted.total
+            level = (
+                state.answered_level if now - state.answered_at_ms < MAX_HANDOVER_AGE_MS else None
+            )
             uses.append(
-                Use(key, share.count.total, share.count.total - share.count.answered, level)
+                Use(
+                    key,
+                    state.admitted.total,
+                    state.admitted.total - state.admitted.acknowledged,
+                    level,
+                )
             )
-        self._sent[self._sequence] = sent
-        if len(self._sent) > MOST_OPEN_REPORTS:
-            self._sent.popitem(last=False)
+        self._unanswered[self._sequence] = sent
+        if len(self._unanswered) > MAX_UNANSWERED_REPORTS:
+            self._unanswered.popitem(last=False)
         return Report(self._sequence, uses)
 
     def is_unanswered(self, now: float) -> bool:
         """Return whether the coordinator has failed to answer within `ANSWER_MS`."""
-        oldest = next(iter(self._sent.values()), None)
-        return oldest is not None and now - oldest.at_ms > ANSWER_MS
+        oldest = next(iter(self._unanswered.values()), None)
+        return oldest is not None and now - oldest.at_ms > ANSWER_TIMEOUT_MS
 
     def take_word(self, sequence: int, levels: dict[int, float], now: float) -> None:
         """Apply the coordinator's answer to a report, unless a newer one has been applied."""
-        sent = self._sent.get(sequence)
+        sent = self._unanswered.get(sequence)
         if sent is None:
             return
-        for older in [one for one in self._sent if one <= sequence]:
-            del self._sent[older]
+        for older in [one for one in self._unanswered if one <= sequence]:
+            del self._unanswered[older]
         for key, level in levels.items():
-            share = self._shares.get(key)
-            if share is None or key not in sent.totals:
+            state = self._states.get(key)
+            if state is None or key not in sent.totals:
                 continue
-            share.count.answered = sent.totals[key]
-            share.level = min(level - (share.count.total - share.count.answered), share.terms.most)
-            share.word_level = share.level
-            share.at_ms = now
-            share.word_at_ms = now
-            share.has_word = True
-            share.is_short = False
+            state.admitted.acknowledged = sent.totals[key]
+            state.level = min(
+                level - (state.admitted.total - state.admitted.acknowledged), state.terms.most
+            )
+            state.answered_level = state.level
+            state.at_ms = now
+            state.answered_at_ms = now
+            state.has_answer = True
+            state.has_refused = False
 
     def forget_idle(self, now: float) -> None:
         """Drop the state of organisations idle for `IDLE_MS`, unless they are in debt."""
-        self._shares = {
+        self._states = {
             key: one
-            for key, one in self._shares.items()
-            if now - one.asked_at_ms < IDLE_MS or _owes(one, now)
+            for key, one in self._states.items()
+            if now - one.requested_at_ms < IDLE_MS or _is_in_debt(one, now)
         }
 
     def left(self, organisation: OrganisationId, now: float) -> Left | None:
         """Return the estimated remaining quota, None when it is unused here."""
-        share = self._shares.get(quota_key(organisation))
-        if share is None:
+        state = self._states.get(quota_key(organisation))
+        if state is None:
             return None
-        age_ms = now - share.word_at_ms if math.isfinite(share.word_at_ms) else None
-        return Left(share.level, share.has_word, age_ms)
+        age_ms = now - state.answered_at_ms if math.isfinite(state.answered_at_ms) else None
+        return Left(state.level, state.has_answer, age_ms)
 
 
-def _owes(share: _Share, now: float) -> bool:
+def _is_in_debt(state: _QuotaState, now: float) -> bool:
     """Return whether a quota is still in debt, assuming that nobody else has used it since."""
-    gained = share.terms.per_s * max(now - share.at_ms, 0.0) / MS_PER_S
-    return share.level + gained < 0
+    gained = state.terms.per_s * max(now - state.at_ms, 0.0) / MS_PER_S
+    return state.level + gained < 0
 
 
-def _matters(share: _Share, siblings: int, calm: bool) -> bool:
+def _affects_others(state: _QuotaState, siblings: int, is_within_interval: bool) -> bool:
     """Return whether the units admitted since the last report affect what others may admit."""
-    if share.is_short:
+    if state.has_refused:
         return True
-    if share.count.total == share.count.told and share.has_word:
+    if state.admitted.total == state.admitted.reported and state.has_answer:
         return False
-    if not calm or not share.has_word:
+    if not is_within_interval or not state.has_answer:
         return True
     # This way all siblings together spend at most half of the remaining units before reporting.
-    return share.count.total - share.count.told > max(share.level, 0.0) / (2 * max(siblings, 1))
+    return state.admitted.total - state.admitted.reported > max(state.level, 0.0) / (
+        2 * max(siblings, 1)
+    )
--- a/sparline/quotas/_level.py
+++ b/sparline/quotas/_level.py
@@ -14,23 +14,23 @@
 
 # Time constant of the decay of a region's reported use in its extrapolated rate (ms): two gossip
 # rounds, since their updates may arrive close together.
-RATE_MS = 500.0
+RATE_DECAY_MS = 500.0
 MS_PER_S = 1000.0
 
 
 @dataclass(slots=True)
-class _Elsewhere:
+class _RemoteUse:
     """Track the reported and assumed use of another region."""
 
-    lately: float = 0.0  # reported units, decaying exponentially
-    assumed: float = 0.0  # units subtracted from the level since its last update
-    told_at_ms: float | None = None  # time of its last update, None without one
+    recent_units: float = 0.0  # reported units, decaying exponentially
+    assumed_units: float = 0.0  # units subtracted from the level since its last update
+    updated_at_ms: float | None = None  # time of its last update, None without one
     is_silent: bool = False  # whether it has become silent since then
-    left: float = 0.0  # level at its last update
+    level_at_update: float = 0.0  # level at its last update
 
     def rate_per_s(self) -> float:
         """Return its extrapolated use in units per second."""
-        return self.lately / RATE_MS * MS_PER_S
+        return self.recent_units / RATE_DECAY_MS * MS_PER_S
 
 
 class FleetLevel:
@@ -44,7 +44,7 @@
         self._terms = terms
         self._level = level
         self._at_ms = now
-        self._elsewhere: dict[RegionName, _Elsewhere] = {}
+        self._remote_uses: dict[RegionName, _RemoteUse] = {}
 
     def change(self, terms: Terms) -> None:
         """Switch to other refill parameters; units above the new upper bound are discarded."""
@@ -55,45 +55,47 @@
         """Subtract units admitted in the own region; negative units are returned to the quota."""
         self._level = min(self._level - units, self._terms.most)
 
-    def at(self, now: float, silent_parts: dict[RegionName, float]) -> float:
+    def at(self, now: float, silent_shares: dict[RegionName, float]) -> float:
         """Advance the level to `now` and return it.
 
-        `silent_parts` maps each silent region to its share of the quota.
+        `silent_shares` maps each silent region to its share of the quota.
         """
         elapsed_s = max(now - self._at_ms, 0.0) / MS_PER_S
         self._at_ms = max(now, self._at_ms)
         if elapsed_s <= 0:
             return self._level
         used = 0.0
-        for region in self._elsewhere.keys() | silent_parts.keys():
-            used += self._assume(region, silent_parts.get(region), elapsed_s)
+        for region in self._remote_uses.keys() | silent_shares.keys():
+            used += self._assume_use(region, silent_shares.get(region), elapsed_s)
         gained = self._terms.per_s * elapsed_s
         self._level = min(self._level + gained, self._terms.most) - used
         return self._level
 
-    def _assume(self, region: RegionName, silent_part: float | None, elapsed_s: float) -> float:
+    def _assume_use(
+        self, region: RegionName, silent_share: float | None, elapsed_s: float
+    ) -> float:
         """Return the units a region is assumed to have used in the elapsed time."""
-        known = self._elsewhere.setdefault(region, _Elsewhere())
-        part = 1.0 if silent_part is None else silent_part
-        rate_per_s = part * self._terms.per_s
-        if silent_part is None:
-            rate_per_s = min(known.rate_per_s(), rate_per_s)
+        remote = self._remote_uses.setdefault(region, _RemoteUse())
+        share = 1.0 if silent_share is None else silent_share
+        rate_per_s = share * self._terms.per_s
+        if silent_share is None:
+            rate_per_s = min(remote.rate_per_s(), rate_per_s)
         used = rate_per_s * elapsed_s
-        if silent_part is not None and not known.is_silent:
+        if silent_share is not None and not remote.is_silent:
             # It may have used its share of the accumulated level before its silence was detected.
-            known.is_silent = True
-            used += silent_part * max(known.left, 0.0)
-        known.assumed += used
+            remote.is_silent = True
+            used += silent_share * max(remote.level_at_update, 0.0)
+        remote.assumed_units += used
         return used
 
     def take_word(self, region: RegionName, units: float, now: float) -> None:
         """Replace the assumed use of a region by the units it reports since its last update."""
-        known = self._elsewhere.setdefault(region, _Elsewhere())
-        self._level = min(self._level + known.assumed - units, self._terms.most)
-        known.assumed = 0.0
-        known.is_silent = False
-        known.left = self._level
-        if known.told_at_ms is not None:
-            known.lately *= math.exp(-(now - known.told_at_ms) / RATE_MS)
-            known.lately += max(units, 0.0)
-        known.told_at_ms = now
+        remote = self._remote_uses.setdefault(region, _RemoteUse())
+        self._level = min(self._level + remote.assumed_units - units, self._terms.most)
+        remote.assumed_units = 0.0
+        remote.is_silent = False
+        remote.level_at_update = self._level
+        if remote.updated_at_ms is not None:
+            remote.recent_units *= math.exp(-(now - remote.updated_at_ms) / RATE_DECAY_MS)
+            remote.recent_units += max(units, 0.0)
+        remote.updated_at_ms = now
--- a/sparline/quotas/_terms.py
+++ b/sparline/quotas/_terms.py
@@ -8,11 +8,11 @@
 
 # Fraction of the operators' tolerance over a quota that is added to its burst, so that callers at
 # their limit lose nothing to late updates. The rest covers what is admitted before updates arrive.
-ROOM_USED = 0.1
+TOLERANCE_USED = 0.1
 # Fraction of the burst that is available initially when prior use is unknown and there is no
 # tolerance, so that the first request is admitted.
-FIRST_PART = 0.1
-KEY_BITS = 0xFFFF_FFFF
+INITIAL_FRACTION = 0.1
+KEY_MASK = 0xFFFF_FFFF
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,10 +45,10 @@
 
     The initial level stays within the tolerance, so that a restart doesn't grant a second burst.
     """
-    used = ROOM_USED * bounds.room(quota)
-    return Terms(quota.per_s, quota.burst + used, max(used, FIRST_PART * quota.burst))
+    used = TOLERANCE_USED * bounds.room(quota)
+    return Terms(quota.per_s, quota.burst + used, max(used, INITIAL_FRACTION * quota.burst))
 
 
 def quota_key(organisation: OrganisationId) -> int:
     """Return the compact key that identifies an organisation in messages between instances."""
-    return hash64(f"quota/{organisation}") & KEY_BITS
+    return hash64(f"quota/{organisation}") & KEY_MASK
