--- a/sparline/quarantine/_crash_table.py
+++ b/sparline/quarantine/_crash_table.py
@@ -18,29 +18,29 @@
 # Crashes that make a request a suspect. A request that ran beside others on two servers that
 # crashed one after the other is mostly not the cause, so it may still be sent, but only once per
 # try.
-SUSPECT_ENDS = 2
+MIN_SUSPECT_ENDS = 2
 # Crashes that put a request in quarantine: operators tolerate three.
 MOST_ENDS = 3
 # After this long (ms), doubled with each further crash, a request in quarantine is tried again as a
 # suspect. A false positive fails one caller's request for that time; trying a request that does
 # crash servers costs an engine with everything that runs there, and its cold start.
 QUARANTINE_MS = 120_000.0
-LONGEST_QUARANTINE_MS = 3_600_000.0
+MAX_QUARANTINE_MS = 3_600_000.0
 # The record of a request without a new crash for this long is dropped (ms).
-KEPT_MS = 600_000.0
+RECORD_TTL_MS = 600_000.0
 # Most records kept, at some 0.5 kB each. Above that a tenth is evicted at a time, those with the
 # fewest crashes first, so that the loss of many servers at once evicts no suspect.
-MOST_RECORDS = 2_560
-PUSHED_OUT_SHARE = 0.1
+MAX_RECORDS = 2_560
+EVICTED_FRACTION = 0.1
 # A request that was answered completely here within this time is not blamed for crashes (ms): when
 # many callers send the same request, it runs on every server of a simultaneous loss without being
 # the cause.
-SOUND_MS = 60_000.0
+ANSWERED_TTL_MS = 60_000.0
 # Most complete answers remembered for that, at some 0.15 kB each.
-MOST_SOUND = 2_048
+MAX_ANSWERED = 2_048
 # Most crashes remembered for one request: more than the longest quarantine needs.
-MOST_KEPT_ENDS = 12
-START_KEY_BITS = 0xFFFF_FFFF
+MAX_ENDS_PER_REQUEST = 12
+RUN_KEY_MASK = 0xFFFF_FFFF
 
 
 class Verdict(Enum):
@@ -80,7 +80,7 @@
     @property
     def concerns_suspect(self) -> bool:
         """Return whether every instance should be informed at once."""
-        return len(self.fact.ended) >= SUSPECT_ENDS
+        return len(self.fact.ended) >= MIN_SUSPECT_ENDS
 
 
 @dataclass(slots=True)
@@ -99,7 +99,7 @@
     @property
     def is_suspect(self) -> bool:
         """Return whether it was ever a suspect; peers are still informed of a cleared one."""
-        return len(self.ended) >= SUSPECT_ENDS
+        return len(self.ended) >= MIN_SUSPECT_ENDS
 
 
 class CrashTable:
@@ -108,17 +108,17 @@
     def __init__(
         self,
         on_change: Callable[[CrashChange], None] = lambda _change: None,
-        on_pushed_out: Callable[[RequestDigest, int], None] = lambda _digest, _ends: None,
+        on_evicted: Callable[[RequestDigest, int], None] = lambda _digest, _ends: None,
     ) -> None:
         """Create an empty table.
 
-        `on_change` is called with each change, `on_pushed_out` with the digest and crash count of
+        `on_change` is called with each change, `on_evicted` with the digest and crash count of
         each evicted suspect.
         """
         self._records: dict[RequestDigest, _Record] = {}
-        self._sound: OrderedDict[RequestDigest, float] = OrderedDict()  # last complete answers
+        self._answered_at_ms: OrderedDict[RequestDigest, float] = OrderedDict()  # complete answers
         self._on_change = on_change
-        self._on_pushed_out = on_pushed_out
+        self._on_evicted = on_evicted
 
     @property
     def is_empty(self) -> bool:
@@ -133,7 +133,7 @@
     def verdict(self, digest: RequestDigest) -> Verdict:
         """Return how a request may be sent now."""
         record = self._records.get(digest)
-        if record is None or record.ends < SUSPECT_ENDS:
+        if record is None or record.ends < MIN_SUSPECT_ENDS:
             return Verdict.CLEAR
         if self._quarantine_left_ms(record) > 0:
             return Verdict.QUARANTINED
@@ -157,17 +157,17 @@
         self, digest: RequestDigest, server_id: BackendServerId, learnt: Learnt = Learnt.HERE
     ) -> None:
         """Record that a server crashed while it may have been running a request."""
-        if self._is_sound(digest):
+        if self._was_answered(digest):
             return
-        fact = CrashFact(digest, frozenset((start_key(server_id),)), frozenset(), 0.0)
+        fact = CrashFact(digest, frozenset((run_key(server_id),)), frozenset(), 0.0)
         self._merge(fact, learnt)
 
     def note_whole(self, digest: RequestDigest) -> None:
         """Record that a server has answered a request completely."""
-        self._sound[digest] = now_ms()
-        self._sound.move_to_end(digest)
-        if len(self._sound) > MOST_SOUND:
-            self._sound.popitem(last=False)
+        self._answered_at_ms[digest] = now_ms()
+        self._answered_at_ms.move_to_end(digest)
+        if len(self._answered_at_ms) > MAX_ANSWERED:
+            self._answered_at_ms.popitem(last=False)
         record = self._records.get(digest)
         if record is None:
             return
@@ -177,52 +177,54 @@
             return
         self._merge(CrashFact(digest, frozenset(), frozenset(record.ended), 0.0), Learnt.HERE)
 
-    def _is_sound(self, digest: RequestDigest) -> bool:
-        answered_at_ms = self._sound.get(digest)
-        return answered_at_ms is not None and now_ms() - answered_at_ms < SOUND_MS
+    def _was_answered(self, digest: RequestDigest) -> bool:
+        answered_at_ms = self._answered_at_ms.get(digest)
+        return answered_at_ms is not None and now_ms() - answered_at_ms < ANSWERED_TTL_MS
 
     def take(self, facts: Iterable[CrashFact]) -> list[CrashChange]:
         """Merge facts from a peer; return the resulting changes."""
-        changes = [self._merge(self._excused(fact), Learnt.PEER) for fact in facts]
+        changes = [self._merge(self._clear_if_answered(fact), Learnt.PEER) for fact in facts]
         return [one for one in changes if one is not None]
 
-    def _excused(self, fact: CrashFact) -> CrashFact:
+    def _clear_if_answered(self, fact: CrashFact) -> CrashFact:
         """Return a peer's fact, with its crashes cleared if the request was recently answered."""
-        return replace(fact, cleared=fact.ended) if self._is_sound(fact.digest) else fact
+        return replace(fact, cleared=fact.ended) if self._was_answered(fact.digest) else fact
 
     def _merge(self, fact: CrashFact, learnt: Learnt) -> CrashChange | None:
         now = now_ms()
         record = self._records.get(fact.digest)
         if record is None:
             record = self._records[fact.digest] = _Record()
-        before = record.ends
-        known = len(record.ended) + len(record.cleared)
+        ends_before_merge = record.ends
+        known_keys = len(record.ended) + len(record.cleared)
         new_ends = fact.ended - record.ended
         if new_ends:
             record.ended_at_ms = max(record.ended_at_ms, now - max(fact.age_ms, 0.0))
         record.ended |= fact.ended
         record.cleared |= fact.cleared & record.ended
-        _cut(record)
-        if len(record.ended) + len(record.cleared) == known:
+        _trim_ends(record)
+        if len(record.ended) + len(record.cleared) == known_keys:
             return None
         record.changed_at_ms = now
-        change = CrashChange(_fact_of(fact.digest, record, now), record.ends, before, learnt)
+        change = CrashChange(
+            _fact_of(fact.digest, record, now), record.ends, ends_before_merge, learnt
+        )
         self._on_change(change)
-        self._bound(fact.digest)
+        self._evict(fact.digest)
         return change
 
-    def _bound(self, newest: RequestDigest) -> None:
+    def _evict(self, newest: RequestDigest) -> None:
         """Evict the records with the fewest crashes when there are too many, never the newest."""
-        if len(self._records) <= MOST_RECORDS:
+        if len(self._records) <= MAX_RECORDS:
             return
         order = sorted(
             (one for one in self._records if one != newest),
             key=lambda one: (self._records[one].ends, self._records[one].ended_at_ms),
         )
-        for digest in order[: int(MOST_RECORDS * PUSHED_OUT_SHARE)]:
+        for digest in order[: int(MAX_RECORDS * EVICTED_FRACTION)]:
             ends = self._records.pop(digest).ends
-            if ends >= SUSPECT_ENDS:
-                self._on_pushed_out(digest, ends)
+            if ends >= MIN_SUSPECT_ENDS:
+                self._on_evicted(digest, ends)
 
     def facts(self, most: int, singles_ms: float, suspects_ms: float) -> list[CrashFact]:
         """Return the recently changed facts to send to peers, at most `most`.
@@ -249,29 +251,29 @@
         self._records = {
             digest: one
             for digest, one in self._records.items()
-            if now - one.ended_at_ms < max(KEPT_MS, 2 * _quarantine_ms(one.ends))
+            if now - one.ended_at_ms < max(RECORD_TTL_MS, 2 * _quarantine_ms(one.ends))
         }
 
 
-def start_key(server_id: BackendServerId) -> int:
+def run_key(server_id: BackendServerId) -> int:
     """Return a compact key of one server run, equal in each instance."""
-    return hash64(server_id) & START_KEY_BITS
+    return hash64(server_id) & RUN_KEY_MASK
 
 
 def _quarantine_ms(ends: int) -> float:
     if ends < MOST_ENDS:
         return 0.0
-    return min(QUARANTINE_MS * 2.0 ** (ends - MOST_ENDS), LONGEST_QUARANTINE_MS)
+    return min(QUARANTINE_MS * 2.0 ** (ends - MOST_ENDS), MAX_QUARANTINE_MS)
 
 
-def _cut(record: _Record) -> None:
+def _trim_ends(record: _Record) -> None:
     """Bound the crashes remembered for one request, dropping cleared ones first."""
-    excess = len(record.ended) - MOST_KEPT_ENDS
+    excess = len(record.ended) - MAX_ENDS_PER_REQUEST
     if excess <= 0:
         return
-    gone = sorted(record.ended, key=lambda key: (key not in record.cleared, key))[:excess]
-    record.ended.difference_update(gone)
-    record.cleared.difference_update(gone)
+    dropped = sorted(record.ended, key=lambda key: (key not in record.cleared, key))[:excess]
+    record.ended.difference_update(dropped)
+    record.cleared.difference_update(dropped)
 
 
 def _fact_of(digest: RequestDigest, record: _Record, now: float) -> CrashFact:
--- a/sparline/quarantine/_digest.py
+++ b/sparline/quarantine/_digest.py
@@ -10,19 +10,19 @@
 # Long enough that nobody can construct two contents with the same digest.
 DIGEST_BYTES = 16
 # Hexadecimal digits of a digest in log lines.
-LOGGED_DIGITS = 16
-LENGTH_BYTES = 8
+LOG_DIGITS = 16
+PART_LENGTH_BYTES = 8
 
 
 def digest_of(parts: Iterable[bytes]) -> RequestDigest:
     """Return the digest of a request's parts; moving bytes between parts changes it."""
-    found = hashlib.blake2b(digest_size=DIGEST_BYTES)
+    hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
-        found.update(len(part).to_bytes(LENGTH_BYTES, "big"))
-        found.update(part)
-    return RequestDigest(found.digest())
+        hasher.update(len(part).to_bytes(PART_LENGTH_BYTES, "big"))
+        hasher.update(part)
+    return RequestDigest(hasher.digest())
 
 
 def logged(digest: RequestDigest) -> str:
     """Return the shortened digest for log lines."""
-    return digest.hex()[:LOGGED_DIGITS]
+    return digest.hex()[:LOG_DIGITS]
--- a/sparline/quarantine/_server_ends.py
+++ b/sparline/quarantine/_server_ends.py
@@ -20,19 +20,19 @@
 # Timeout of a probe (ms). A server in the own region accepts or refuses a connection within a few
 # milliseconds; one that does neither within this time may be unreachable because of a network
 # partition.
-PROBE_MS = 300.0
+PROBE_TIMEOUT_MS = 300.0
 # A refused probe is reused for this long, for other answers that the server aborted together (ms).
-SHOWN_MS = 500.0
+REFUSAL_TTL_MS = 500.0
 # A server whose store entry is removed within this time after an aborted answer may have terminated
 # with it (ms): three missed heartbeats and the delay of the store.
-GONE_AFTER_MS = 15_000.0
+MAX_REMOVAL_DELAY_MS = 15_000.0
 # Most aborted answers awaiting a store update about their servers.
-MOST_WAITING = 1_024
+MAX_UNEXPLAINED = 1_024
 # Repeats of a request are watched for this long after an unexplained aborted answer (ms): callers
 # retry within their deadlines.
-DOUBTED_MS = 60_000.0
+WATCH_MS = 60_000.0
 # Most watched requests, at some 0.15 kB each.
-MOST_DOUBTED = 1_024
+MAX_WATCHED = 1_024
 
 
 Address = tuple[str, int]
@@ -55,12 +55,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BrokenAnswer:
+class AbortedAnswer:
     """Represent an aborted answer that no probe could explain."""
 
     digest: RequestDigest  # request that was being answered
     server_id: BackendServerId  # server that aborted the answer
-    broke_at_ms: float  # time of the abort
+    aborted_at_ms: float  # time of the abort
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
     on_end: Callable[[BackendServerId, EndSign], None]  # called for metrics and logging
 
 
-class Witness(Protocol):
+class OtherConnection(Protocol):
     """Represent another connection to a server, which shows whether the server still runs."""
 
     def is_lost(self) -> bool:
@@ -86,41 +86,41 @@
 
     def __init__(self, parts: EndParts) -> None:
         """Start without any aborted answer."""
-        self._parts = parts
+        self._dependencies = parts
         self._probes: dict[BackendServerId, AsyncResult] = {}
-        self._shown: OrderedDict[BackendServerId, tuple[Reach, float]] = OrderedDict()
-        self._waiting: OrderedDict[BrokenAnswer, None] = OrderedDict()
-        self._doubted: OrderedDict[RequestDigest, float] = OrderedDict()  # time of the newest abort
+        self._probe_results: OrderedDict[BackendServerId, tuple[Reach, float]] = OrderedDict()
+        self._unexplained: OrderedDict[AbortedAnswer, None] = OrderedDict()
+        self._watched: OrderedDict[RequestDigest, float] = OrderedDict()  # time of the newest abort
 
     def reach(self, server_id: BackendServerId, address: Address) -> Reach:
         """Return whether a server that has just aborted an answer still accepts connections."""
-        shown, at_ms = self._shown.get(server_id, (Reach.UNKNOWN, 0.0))
-        if shown is Reach.REFUSED and now_ms() - at_ms < SHOWN_MS:
-            return shown
+        last_reach, probed_at_ms = self._probe_results.get(server_id, (Reach.UNKNOWN, 0.0))
+        if last_reach is Reach.REFUSED and now_ms() - probed_at_ms < REFUSAL_TTL_MS:
+            return last_reach
         running = self._probes.get(server_id)
         if running is not None:
             return running.get()
         result = self._probes[server_id] = AsyncResult()
         found = Reach.UNKNOWN
         try:
-            found = self._parts.probe(address, PROBE_MS / 1000)
+            found = self._dependencies.probe(address, PROBE_TIMEOUT_MS / 1000)
         finally:
             # Runs also when this greenlet is killed, since others wait for the result.
             del self._probes[server_id]
             result.set(found)
-        self._note(server_id, found)
+        self._record_probe(server_id, found)
         return found
 
-    def _note(self, server_id: BackendServerId, found: Reach) -> None:
-        self._shown[server_id] = (found, now_ms())
-        if len(self._shown) > MOST_WAITING:
-            self._shown.popitem(last=False)
+    def _record_probe(self, server_id: BackendServerId, found: Reach) -> None:
+        self._probe_results[server_id] = (found, now_ms())
+        if len(self._probe_results) > MAX_UNEXPLAINED:
+            self._probe_results.popitem(last=False)
         if found is Reach.REFUSED:
-            self._parts.note_unreachable(server_id)
-            self._parts.on_end(server_id, EndSign.REFUSED)
+            self._dependencies.note_unreachable(server_id)
+            self._dependencies.on_end(server_id, EndSign.REFUSED)
 
     def witnessed_end(
-        self, server_id: BackendServerId, witnesses: Sequence[Witness]
+        self, server_id: BackendServerId, witnesses: Sequence[OtherConnection]
     ) -> BackendServerId | None:
         """Return an id of the terminated server run, None without evidence of a termination.
 
@@ -129,41 +129,43 @@
         """
         if not witnesses or not all(one.is_lost() for one in witnesses):
             return None
-        self._parts.on_end(server_id, EndSign.WITNESSED)
+        self._dependencies.on_end(server_id, EndSign.WITNESSED)
         return BackendServerId(f"{server_id}/until-{now_ms():.0f}")
 
     @property
     def has_doubts(self) -> bool:
         """Return whether any request is watched, so that digests have to be computed."""
-        since = now_ms() - DOUBTED_MS
-        while self._doubted and next(iter(self._doubted.values())) < since:
-            self._doubted.popitem(last=False)
-        return bool(self._doubted)
+        since = now_ms() - WATCH_MS
+        while self._watched and next(iter(self._watched.values())) < since:
+            self._watched.popitem(last=False)
+        return bool(self._watched)
 
     def is_doubted(self, digest: RequestDigest) -> bool:
         """Return whether an answer to a request was recently aborted without an explanation."""
-        return self._doubted.get(digest, 0.0) > now_ms() - DOUBTED_MS
+        return self._watched.get(digest, 0.0) > now_ms() - WATCH_MS
 
     def wait_for_word(self, digest: RequestDigest, server_id: BackendServerId) -> None:
         """Remember an aborted answer until the store shows whether the server has terminated."""
-        self._doubted[digest] = now_ms()
-        self._doubted.move_to_end(digest)
-        if len(self._doubted) > MOST_DOUBTED:
-            self._doubted.popitem(last=False)
-        self._waiting[BrokenAnswer(digest, server_id, now_ms())] = None
-        if len(self._waiting) > MOST_WAITING:
-            self._waiting.popitem(last=False)
+        self._watched[digest] = now_ms()
+        self._watched.move_to_end(digest)
+        if len(self._watched) > MAX_WATCHED:
+            self._watched.popitem(last=False)
+        self._unexplained[AbortedAnswer(digest, server_id, now_ms())] = None
+        if len(self._unexplained) > MAX_UNEXPLAINED:
+            self._unexplained.popitem(last=False)
 
     def note_gone(self, server_id: BackendServerId) -> list[RequestDigest]:
         """Return the requests whose aborted answers are explained by the removal of a server."""
-        mine = [one for one in self._waiting if one.server_id == server_id]
-        for one in mine:
-            del self._waiting[one]
-        since = now_ms() - GONE_AFTER_MS
-        heard_at_ms = self._parts.heard_at_ms(server_id)
+        aborted = [one for one in self._unexplained if one.server_id == server_id]
+        for one in aborted:
+            del self._unexplained[one]
+        since = now_ms() - MAX_REMOVAL_DELAY_MS
+        heard_at_ms = self._dependencies.heard_at_ms(server_id)
         ended = [
-            one.digest for one in mine if one.broke_at_ms >= since and heard_at_ms < one.broke_at_ms
+            one.digest
+            for one in aborted
+            if one.aborted_at_ms >= since and heard_at_ms < one.aborted_at_ms
         ]
         if ended:
-            self._parts.on_end(server_id, EndSign.GONE)
+            self._dependencies.on_end(server_id, EndSign.GONE)
         return ended
--- a/sparline/quarantine/tests/test_crash_table.py
+++ b/sparline/quarantine/tests/test_crash_table.py
@@ -28,8 +28,8 @@
 
 
 def fact(*servers: str, cleared: tuple[str, ...] = (), age_ms: float = 0.0) -> CrashFact:
-    keys = frozenset(_crash_table.start_key(one) for one in servers)
-    return CrashFact(ONE, keys, frozenset(_crash_table.start_key(one) for one in cleared), age_ms)
+    keys = frozenset(_crash_table.run_key(one) for one in servers)
+    return CrashFact(ONE, keys, frozenset(_crash_table.run_key(one) for one in cleared), age_ms)
 
 
 VERDICTS = [
@@ -80,7 +80,7 @@
     # The excuse goes before what a peer, who has not heard of it, still tells.
     table.take([fact("a", "b")])
     assert table.verdict(ONE) is Verdict.CLEAR
-    clock[0] += _crash_table.SOUND_MS + 1
+    clock[0] += _crash_table.ANSWERED_TTL_MS + 1
     ended(table, "c")
     assert table.ends(ONE) == 1
 
@@ -107,7 +107,7 @@
 def test_what_was_sound_once_is_not_sound_for_ever(clock):
     table = CrashTable()
     table.note_whole(ONE)
-    clock[0] += _crash_table.SOUND_MS
+    clock[0] += _crash_table.ANSWERED_TTL_MS
     ended(table, "a", "b", "c")
     assert table.verdict(ONE) is Verdict.QUARANTINED
 
@@ -135,31 +135,31 @@
 def test_what_nothing_has_ended_under_for_long_is_forgotten(clock):
     table = CrashTable()
     ended(table, "a", "b")
-    clock[0] += _crash_table.KEPT_MS
+    clock[0] += _crash_table.RECORD_TTL_MS
     table.forget_old()
     assert table.is_empty
 
 
 def test_a_flood_of_others_pushes_no_suspect_out(clock):
-    pushed_out = []
-    table = CrashTable(on_pushed_out=lambda digest, ends: pushed_out.append((digest, ends)))
+    evicted = []
+    table = CrashTable(on_evicted=lambda digest, ends: evicted.append((digest, ends)))
     ended(table, "a", "b", "c")
-    for number in range(3 * _crash_table.MOST_RECORDS):
+    for number in range(3 * _crash_table.MAX_RECORDS):
         clock[0] += 1
         ended(table, "x", digest=RequestDigest(number.to_bytes(16, "big")))
     assert table.verdict(ONE) is Verdict.QUARANTINED
-    assert len(table._records) <= _crash_table.MOST_RECORDS
-    assert pushed_out == []
+    assert len(table._records) <= _crash_table.MAX_RECORDS
+    assert evicted == []
 
 
 def test_a_suspect_without_room_is_told_of(clock, monkeypatch):
-    monkeypatch.setattr(_crash_table, "MOST_RECORDS", 20)
-    pushed_out = []
-    table = CrashTable(on_pushed_out=lambda digest, ends: pushed_out.append((digest, ends)))
+    monkeypatch.setattr(_crash_table, "MAX_RECORDS", 20)
+    evicted = []
+    table = CrashTable(on_evicted=lambda digest, ends: evicted.append((digest, ends)))
     for number in range(21):
         clock[0] += 1
         ended(table, "a", "b", digest=RequestDigest(number.to_bytes(16, "big")))
-    assert pushed_out == [(RequestDigest(bytes(16)), 2), (RequestDigest(bytes(15) + b"\1"), 2)]
+    assert evicted == [(RequestDigest(bytes(16)), 2), (RequestDigest(bytes(15) + b"\1"), 2)]
 
 
 def test_the_worst_are_told_first_and_each_for_its_time(clock):
--- a/sparline/quarantine/tests/test_server_ends.py
+++ b/sparline/quarantine/tests/test_server_ends.py
@@ -95,7 +95,7 @@
 
 WORDS = [
     ("gone soon, and never heard again", 3_000.0, 0.0, [ONE]),
-    ("gone long after", _server_ends.GONE_AFTER_MS + 1, 0.0, []),
+    ("gone long after", _server_ends.MAX_REMOVAL_DELAY_MS + 1, 0.0, []),
     ("heard after the break", 3_000.0, BROKE_MS + 1, []),
     ("heard before the break", 3_000.0, BROKE_MS - 1, [ONE]),
 ]
@@ -118,10 +118,10 @@
 
 def test_what_waits_for_word_is_bounded(clock):
     server_ends = ServerEnds(Seen(Reach.UNKNOWN).parts())
-    for number in range(2 * _server_ends.MOST_WAITING):
+    for number in range(2 * _server_ends.MAX_UNEXPLAINED):
         clock[0] += 0.001
         server_ends.wait_for_word(ONE, BackendServerId(f"s{number}"))
-    assert len(server_ends._waiting) == _server_ends.MOST_WAITING
+    assert len(server_ends._unexplained) == _server_ends.MAX_UNEXPLAINED
 
 
 class Connection:
@@ -168,14 +168,14 @@
     assert server_ends.has_doubts
     assert server_ends.is_doubted(ONE)
     assert not server_ends.is_doubted(RequestDigest(b"2" * 16))
-    clock[0] += _server_ends.DOUBTED_MS + 1
+    clock[0] += _server_ends.WATCH_MS + 1
     assert not server_ends.is_doubted(ONE)
     assert not server_ends.has_doubts
 
 
 def test_what_is_watched_is_bounded(clock):
     server_ends = ServerEnds(Seen(Reach.OPEN).parts())
-    for number in range(2 * _server_ends.MOST_DOUBTED):
+    for number in range(2 * _server_ends.MAX_WATCHED):
         server_ends.wait_for_word(RequestDigest(b"%d" % number), SERVER)
     assert not server_ends.is_doubted(RequestDigest(b"0"))
-    assert len(server_ends._doubted) == _server_ends.MOST_DOUBTED
+    assert len(server_ends._watched) == _server_ends.MAX_WATCHED
