--- a/sparline/quarantine/tests/test_crash_table.py
+++ b/sparline/quarantine/tests/test_crash_table.py
@@ -1,4 +1,4 @@
-"""What a table says of requests by the ends that it was told of."""
+"""Verdicts on requests by the crashes recorded in a table."""
 
 import pytest
 
@@ -35,9 +35,9 @@
 VERDICTS = [
     ("nothing", [], Verdict.CLEAR),
     ("one end", ["a"], Verdict.CLEAR),
-    ("one end, seen by several", ["a", "a", "a"], Verdict.CLEAR),
+    ("one end, reported repeatedly", ["a", "a", "a"], Verdict.CLEAR),
     ("two ends", ["a", "b"], Verdict.SUSPECT),
-    ("a server and its next start", ["a@1", "a@2"], Verdict.SUSPECT),
+    ("two runs of one server", ["a@1", "a@2"], Verdict.SUSPECT),
     ("three ends", ["a", "b", "c"], Verdict.QUARANTINED),
     ("twenty ends", [f"s{number}" for number in range(20)], Verdict.QUARANTINED),
 ]
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize(
     ("servers", "verdict"), [row[1:] for row in VERDICTS], ids=[row[0] for row in VERDICTS]
 )
-def test_the_number_of_servers_decides(clock, servers, verdict):
+def test_verdict_depends_on_number_of_servers(clock, servers, verdict):
     table = CrashTable()
     ended(table, *servers)
     assert table.verdict(ONE) is verdict
@@ -54,9 +54,9 @@
 
 
 MERGES = [
-    ("told twice", [["a", "b"], ["a", "b"]], 2),
-    ("told by two instances", [["a", "b"], ["b", "c"]], 3),
-    ("told by three regions, one each", [["a"], ["b"], ["c"]], 3),
+    ("repeated facts", [["a", "b"], ["a", "b"]], 2),
+    ("facts of two instances", [["a", "b"], ["b", "c"]], 3),
+    ("one fact from each of three regions", [["a"], ["b"], ["c"]], 3),
     ("nothing new", [["a"], ["a"], []], 1),
 ]
 
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize(
     ("told", "ends"), [row[1:] for row in MERGES], ids=[row[0] for row in MERGES]
 )
-def test_facts_are_merged_in_any_order(clock, told, ends):
+def test_merge_is_independent_of_order(clock, told, ends):
     for order in (told, told[::-1]):
         table = CrashTable()
         for servers in order:
@@ -72,12 +72,12 @@
         assert table.ends(ONE) == ends
 
 
-def test_a_whole_answer_excuses_what_was_before_it(clock):
+def test_complete_answer_clears_earlier_ends(clock):
     table = CrashTable()
     ended(table, "a", "b")
     table.note_whole(ONE)
     assert table.verdict(ONE) is Verdict.CLEAR
-    # The excuse goes before what a peer, who has not heard of it, still tells.
+    # It also clears ends that an uninformed peer still reports.
     table.take([fact("a", "b")])
     assert table.verdict(ONE) is Verdict.CLEAR
     clock[0] += _crash_table.ANSWERED_TTL_MS + 1
@@ -85,26 +85,26 @@
     assert table.ends(ONE) == 1
 
 
-def test_a_peers_excuse_is_taken(clock):
+def test_ends_cleared_by_a_peer_are_cleared(clock):
     table = CrashTable()
     ended(table, "a", "b", "c")
     assert table.take([fact("a", "b", "c", cleared=("a", "b", "c"))])
     assert table.verdict(ONE) is Verdict.CLEAR
 
 
-def test_a_request_that_many_send_is_sound_when_its_servers_are_lost_together(clock):
+def test_recently_answered_request_is_not_blamed_for_a_simultaneous_loss(clock):
     table = CrashTable()
     table.note_whole(ONE)
     clock[0] += 100
     ended(table, "a", "b", "c")
     assert table.verdict(ONE) is Verdict.CLEAR
-    # Instances that have not answered it yet hear so.
+    # The change is passed to instances that have not answered it yet.
     (told,) = table.take([fact("a", "b", "c")])
     assert told.concerns_suspect
     assert told.fact.cleared == told.fact.ended
 
 
-def test_what_was_sound_once_is_not_sound_for_ever(clock):
+def test_complete_answer_expires(clock):
     table = CrashTable()
     table.note_whole(ONE)
     clock[0] += _crash_table.ANSWERED_TTL_MS
@@ -112,7 +112,7 @@
     assert table.verdict(ONE) is Verdict.QUARANTINED
 
 
-def test_a_quarantine_ends_in_a_trial_and_grows_with_each_further_end(clock):
+def test_quarantine_ends_as_suspect_and_doubles_with_each_further_end(clock):
     table = CrashTable()
     ended(table, "a", "b", "c")
     for number, times in enumerate((1, 2, 4)):
@@ -124,7 +124,7 @@
         assert table.verdict(ONE) is Verdict.QUARANTINED
 
 
-def test_old_news_does_not_prolong_a_quarantine(clock):
+def test_repeated_fact_does_not_extend_quarantine(clock):
     table = CrashTable()
     ended(table, "a", "b", "c")
     clock[0] += _crash_table.QUARANTINE_MS / 2
@@ -132,7 +132,7 @@
     assert table.quarantine_left_ms(ONE) == _crash_table.QUARANTINE_MS / 2
 
 
-def test_what_nothing_has_ended_under_for_long_is_forgotten(clock):
+def test_record_without_recent_end_is_dropped(clock):
     table = CrashTable()
     ended(table, "a", "b")
     clock[0] += _crash_table.RECORD_TTL_MS
@@ -140,7 +140,7 @@
     assert table.is_empty
 
 
-def test_a_flood_of_others_pushes_no_suspect_out(clock):
+def test_many_single_ends_evict_no_suspect(clock):
     evicted = []
     table = CrashTable(on_evicted=lambda digest, ends: evicted.append((digest, ends)))
     ended(table, "a", "b", "c")
@@ -152,7 +152,7 @@
     assert evicted == []
 
 
-def test_a_suspect_without_room_is_told_of(clock, monkeypatch):
+def test_eviction_of_a_suspect_is_reported(clock, monkeypatch):
     monkeypatch.setattr(_crash_table, "MAX_RECORDS", 20)
     evicted = []
     table = CrashTable(on_evicted=lambda digest, ends: evicted.append((digest, ends)))
@@ -162,7 +162,7 @@
     assert evicted == [(RequestDigest(bytes(16)), 2), (RequestDigest(bytes(15) + b"\1"), 2)]
 
 
-def test_the_worst_are_told_first_and_each_for_its_time(clock):
+def test_facts_are_ordered_by_ends_and_limited_by_age(clock):
     table = CrashTable()
     ended(table, "a", "b", "c")
     clock[0] += 100
@@ -174,7 +174,7 @@
     assert table.facts(5, 50, 150) == []
 
 
-def test_a_change_is_told_once_with_what_it_was_before(clock):
+def test_each_change_is_reported_once_with_previous_ends(clock):
     changes = []
     table = CrashTable(
         lambda change: changes.append((change.ends_before, change.ends, change.learnt))
--- a/sparline/quarantine/tests/test_digest.py
+++ b/sparline/quarantine/tests/test_digest.py
@@ -1,4 +1,4 @@
-"""What requests have in common: content counts, an id does not."""
+"""Request digests depend on the content and the caller, not on the request id."""
 
 import pytest
 
@@ -28,9 +28,9 @@
 
 SAME = [
     ("another id", {"request_id": RequestId("r2")}),
-    ("another time left", {"deadline_at_ms": 5.0}),
-    ("by way of a peer", {"origin": Origin.RELAY}),
-    ("a stream that goes on", {"resume_after": 7}),
+    ("another deadline", {"deadline_at_ms": 5.0}),
+    ("relayed by a peer", {"origin": Origin.RELAY}),
+    ("a resumed stream", {"resume_after": 7}),
     ("another header", {"headers": [*HEADERS[:2], (b"x-try", b"2")]}),
 ]
 OTHER = [
@@ -45,14 +45,14 @@
 
 
 @pytest.mark.parametrize("changes", [row[1] for row in SAME], ids=[row[0] for row in SAME])
-def test_a_repeat_has_the_same_digest(changes):
+def test_repeat_has_the_same_digest(changes):
     assert request(**changes).digest() == request().digest()
 
 
 @pytest.mark.parametrize("changes", [row[1] for row in OTHER], ids=[row[0] for row in OTHER])
-def test_another_request_has_another_digest(changes):
+def test_different_request_has_a_different_digest(changes):
     assert request(**changes).digest() != request().digest()
 
 
-def test_instances_of_all_versions_agree_on_a_digest():
+def test_digest_is_stable_across_versions():
     assert digest_of([b"a", b"bc"]).hex() == "f657d58ed59382298356d21c95353a31"
--- a/sparline/quarantine/tests/test_server_ends.py
+++ b/sparline/quarantine/tests/test_server_ends.py
@@ -1,4 +1,4 @@
-"""Whether a server has ended, by what a connection and the store show."""
+"""Detection of server terminations by connections and the store."""
 
 import gevent
 import pytest
@@ -13,7 +13,7 @@
 
 
 class Seen:
-    """Stand for the network, the server's signs of life and the log."""
+    """Fake the network, the server's last activity and the log."""
 
     def __init__(self, reach: Reach) -> None:
         self.reach = reach
@@ -44,9 +44,9 @@
 
 
 REACHES = [
-    ("nothing listens", Reach.REFUSED, ["e1"], [("e1", EndSign.REFUSED)]),
-    ("it goes on", Reach.OPEN, [], []),
-    ("no answer", Reach.UNKNOWN, [], []),
+    ("connection refused", Reach.REFUSED, ["e1"], [("e1", EndSign.REFUSED)]),
+    ("connection accepted", Reach.OPEN, [], []),
+    ("no response", Reach.UNKNOWN, [], []),
 ]
 
 
@@ -55,7 +55,7 @@
     [row[1:] for row in REACHES],
     ids=[row[0] for row in REACHES],
 )
-def test_a_connection_shows_it(clock, reach, unreachable, ends):
+def test_probe_result_decides(clock, reach, unreachable, ends):
     seen = Seen(reach)
     server_ends = ServerEnds(seen.parts())
     assert server_ends.reach(SERVER, ADDRESS) is reach
@@ -63,7 +63,7 @@
     assert seen.ends == ends
 
 
-def test_all_that_broke_off_together_ask_once(clock):
+def test_concurrent_callers_share_one_probe(clock):
     seen = Seen(Reach.REFUSED)
     server_ends = ServerEnds(seen.parts())
     asking = [gevent.spawn(server_ends.reach, SERVER, ADDRESS) for _ in range(30)]
@@ -74,7 +74,7 @@
     assert len(seen.ends) == 1
 
 
-def test_a_server_that_was_there_is_asked_again(clock):
+def test_accepted_probe_is_not_reused(clock):
     seen = Seen(Reach.OPEN)
     server_ends = ServerEnds(seen.parts())
     server_ends.reach(SERVER, ADDRESS)
@@ -82,7 +82,7 @@
     assert server_ends.reach(SERVER, ADDRESS) is Reach.REFUSED
 
 
-def test_who_waits_for_a_probe_is_freed_when_the_prober_is_ended(clock):
+def test_waiters_are_released_when_the_probing_greenlet_is_killed(clock):
     seen = Seen(Reach.REFUSED)
     server_ends = ServerEnds(seen.parts())
     prober = gevent.spawn(server_ends.reach, SERVER, ADDRESS)
@@ -94,17 +94,17 @@
 
 
 WORDS = [
-    ("gone soon, and never heard again", 3_000.0, 0.0, [ONE]),
-    ("gone long after", _server_ends.MAX_REMOVAL_DELAY_MS + 1, 0.0, []),
-    ("heard after the break", 3_000.0, BROKE_MS + 1, []),
-    ("heard before the break", 3_000.0, BROKE_MS - 1, [ONE]),
+    ("removed soon, never heard again", 3_000.0, 0.0, [ONE]),
+    ("removed long after", _server_ends.MAX_REMOVAL_DELAY_MS + 1, 0.0, []),
+    ("heard after the abort", 3_000.0, BROKE_MS + 1, []),
+    ("heard before the abort", 3_000.0, BROKE_MS - 1, [ONE]),
 ]
 
 
 @pytest.mark.parametrize(
     ("after_ms", "heard_at_ms", "ended"), [row[1:] for row in WORDS], ids=[row[0] for row in WORDS]
 )
-def test_the_store_tells_what_no_connection_showed(clock, after_ms, heard_at_ms, ended):
+def test_store_removal_explains_aborted_answers(clock, after_ms, heard_at_ms, ended):
     seen = Seen(Reach.UNKNOWN)
     server_ends = ServerEnds(seen.parts())
     server_ends.wait_for_word(ONE, SERVER)
@@ -116,7 +116,7 @@
     assert seen.ends == ([("e1", EndSign.GONE)] if ended else [])
 
 
-def test_what_waits_for_word_is_bounded(clock):
+def test_unexplained_aborts_are_bounded(clock):
     server_ends = ServerEnds(Seen(Reach.UNKNOWN).parts())
     for number in range(2 * _server_ends.MAX_UNEXPLAINED):
         clock[0] += 0.001
@@ -125,7 +125,7 @@
 
 
 class Connection:
-    """Stand for a second connection to a server."""
+    """Fake another connection to a server."""
 
     def __init__(self, lost: bool) -> None:
         self.lost = lost
@@ -135,18 +135,18 @@
 
 
 WITNESSES = [
-    ("none was there", (), False),
-    ("the only one is lost", (True,), True),
-    ("all are lost", (True, True, True), True),
-    ("one goes on", (True, False, True), False),
-    ("all go on", (False, False), False),
+    ("no connection", (), False),
+    ("single connection lost", (True,), True),
+    ("all connections lost", (True, True, True), True),
+    ("one connection survives", (True, False, True), False),
+    ("all connections survive", (False, False), False),
 ]
 
 
 @pytest.mark.parametrize(
     ("lost", "has_ended"), [row[1:] for row in WITNESSES], ids=[row[0] for row in WITNESSES]
 )
-def test_a_server_that_loses_every_connection_has_ended(clock, lost, has_ended):
+def test_server_that_loses_every_connection_has_ended(clock, lost, has_ended):
     seen = Seen(Reach.OPEN)
     server_ends = ServerEnds(seen.parts())
     found = server_ends.witnessed_end(SERVER, [Connection(one) for one in lost])
@@ -154,14 +154,14 @@
     assert seen.ends == ([(SERVER, EndSign.WITNESSED)] if has_ended else [])
 
 
-def test_two_ends_of_a_server_that_keeps_its_name_are_two(clock):
+def test_two_ends_under_one_server_id_are_distinct(clock):
     server_ends = ServerEnds(Seen(Reach.OPEN).parts())
     first = server_ends.witnessed_end(SERVER, [Connection(True)])
     clock[0] += 200
     assert server_ends.witnessed_end(SERVER, [Connection(True)]) != first
 
 
-def test_a_request_is_watched_for_a_while_after_an_unexplained_break(clock):
+def test_request_is_watched_after_an_unexplained_abort(clock):
     server_ends = ServerEnds(Seen(Reach.OPEN).parts())
     assert not server_ends.has_doubts
     server_ends.wait_for_word(ONE, SERVER)
@@ -173,7 +173,7 @@
     assert not server_ends.has_doubts
 
 
-def test_what_is_watched_is_bounded(clock):
+def test_watched_requests_are_bounded(clock):
     server_ends = ServerEnds(Seen(Reach.OPEN).parts())
     for number in range(2 * _server_ends.MAX_WATCHED):
         server_ends.wait_for_word(RequestDigest(b"%d" % number), SERVER)
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -1,4 +1,4 @@
-"""What one instance admits, alone and by the words of an account holder."""
+"""Admission by quota in one instance, alone and with answers of a quota coordinator."""
 
 import random
 
@@ -41,18 +41,18 @@
 
 
 @pytest.mark.parametrize(("unit", "tokens", "cost"), COSTS)
-def test_what_a_request_counts(unit, tokens, cost):
+def test_request_cost(unit, tokens, cost):
     assert Quota(unit, PER_S, PER_S, 200.0).cost(tokens) == cost
 
 
-def test_an_organisation_without_a_quota_is_never_refused():
+def test_organisation_without_quota_is_never_refused():
     free = Organisation(ORE, frozenset(), None, frozenset(), None)
     one = allowance()
     assert all(one.admit(free, 1e9, 1, 0.0) is None for _ in range(9))
     assert one.left(ORE, 0.0) is None
 
 
-def test_a_request_may_be_larger_than_what_is_left_and_the_rest_is_owed():
+def test_request_above_remaining_quota_is_admitted_and_leaves_debt():
     one = allowance()
     assert one.admit(ORGANISATION, 60_000.0, 1, 0.0) is None
     wait_ms = one.admit(ORGANISATION, 1.0, 1, 0.0)
@@ -60,7 +60,7 @@
     assert one.admit(ORGANISATION, 1.0, 1, 61_000.0) is None
 
 
-def test_alone_it_uses_its_own_part():
+def test_instance_without_coordinator_uses_its_own_share():
     one = allowance()
     admitted = 0.0
     for ms in range(0, 20_000, 10):
@@ -69,7 +69,7 @@
     assert admitted == pytest.approx(20 * PER_S / 10, rel=0.1)
 
 
-def test_a_word_says_what_is_left_less_what_it_did_not_know_of():
+def test_answer_sets_level_less_units_it_does_not_include():
     one = allowance()
     one.admit(ORGANISATION, 10.0, 1, 0.0)
     report = one.report(0.0)
@@ -81,7 +81,7 @@
     assert one.report(2.0).uses == [Use(KEY, 15.0, 5.0, 495.0)]
 
 
-def test_a_word_that_was_overtaken_says_nothing():
+def test_overtaken_answer_is_ignored():
     one = allowance()
     one.admit(ORGANISATION, 10.0, 1, 0.0)
     first = one.report(0.0)
@@ -92,7 +92,7 @@
     assert one.left(ORE, 3.0).units == 300.0
 
 
-def test_without_an_answer_it_falls_back_to_its_own_part():
+def test_unanswered_report_falls_back_to_own_share():
     one = allowance()
     one.admit(ORGANISATION, 10.0, 10, 0.0)
     one.take_word(one.report(0.0).sequence, {KEY: 1_000.0}, 1.0)
@@ -104,7 +104,7 @@
     assert left.units <= make_terms(QUOTA, BOUNDS).most / 10
 
 
-def test_what_did_not_run_is_given_back_and_what_ran_twice_counts_twice():
+def test_settle_returns_units_not_run_and_charges_reruns():
     one = allowance()
     one.admit(ORGANISATION, 10.0, 1, 0.0)
     before = one.left(ORE, 0.0).units
@@ -114,7 +114,7 @@
     assert one.report(0.0).uses[0].total == 10.0
 
 
-def test_a_clock_that_jumps_back_gives_nothing_away():
+def test_backward_clock_jump_grants_no_units():
     one = allowance()
     one.admit(ORGANISATION, 1_000.0, 1, 50_000.0)
     left = one.left(ORE, 50_000.0).units
@@ -134,26 +134,26 @@
     return Report(1, [Use(KEY, total, total if unsaid is None else unsaid, level)])
 
 
-def test_totals_count_once_however_often_they_are_told():
+def test_repeated_totals_count_once():
     one = account(Terms(0.0, 1_000.0, 2_000.0))
     one.take_report(("a", 1), report(100.0), 0.0)
     assert one.take_report(("a", 1), report(100.0), 0.0) == {KEY: 900.0}
     assert one.take_report(("b", 1), report(50.0), 0.0) == {KEY: 850.0}
-    # It has started anew, and its totals with it.
+    # The instance has restarted, and its totals start from zero.
     assert one.take_report(("a", 2), report(20.0), 0.0) == {KEY: 830.0}
 
 
-def test_a_new_account_goes_on_from_what_an_instance_was_told():
+def test_new_coordinator_continues_from_the_level_in_a_report():
     one = account(Terms(0.0, 1_000.0, 2_000.0))
     assert one.take_report(("a", 1), report(5_000.0, 30.0, 200.0), 0.0) == {KEY: 200.0}
     assert one.take_report(("b", 1), report(7_000.0, 30.0, 200.0), 0.0) == {KEY: 170.0}
 
 
-def test_an_unknown_organisation_is_no_ones_account():
+def test_use_of_unknown_organisation_is_ignored():
     assert account().take_report(("a", 1), Report(1, [Use(KEY + 1, 1.0, 1.0, None)]), 0.0) == {}
 
 
-def test_what_another_region_used_is_taken_off():
+def test_use_of_another_region_is_subtracted():
     one = account(Terms(0.0, 1_000.0, 2_000.0))
     one.take_totals(SOUTH, ("s", 1), [RegionTotal(KEY, 70.0)], 0.0)
     one.take_report(("a", 1), report(100.0), 0.0)
@@ -161,7 +161,7 @@
     assert one.take_report(("a", 1), report(100.0), 0.0)[KEY] == pytest.approx(850.0)
 
 
-def test_two_regions_that_lose_each_other_stay_within_the_quota():
+def test_partitioned_regions_together_stay_within_the_quota():
     terms = Terms(PER_S, 1_000.0, 1_000.0)
     sides = [FleetLevel(terms, 1_000.0, 0.0) for _ in range(2)]
     for one, other in zip(sides, (SOUTH, NORTH), strict=True):
@@ -175,7 +175,7 @@
     assert used <= 1_000.0 + 6 * PER_S + 2 * 20.0
 
 
-def test_a_region_that_is_back_tells_what_it_really_used():
+def test_update_after_silence_replaces_assumed_use():
     one = FleetLevel(Terms(PER_S, 1_000.0, 1_000.0), 500.0, 0.0)
     one.take_word(SOUTH, 0.0, 0.0)
     one.at(1_000.0, {SOUTH: 0.5})
@@ -183,8 +183,8 @@
     assert one.at(1_000.0, {}) == pytest.approx(1_000.0)
 
 
-def test_an_organisation_that_comes_back_after_a_rest_is_given_nothing_for_it():
-    # Its share here is forgotten meanwhile, the account is kept for what others ask.
+def test_idle_organisation_regains_no_units_when_its_state_is_dropped():
+    # The instance drops its idle state meanwhile; the coordinator keeps its state for others.
     one, held = allowance(), account(Terms(0.0, 1_000.0, 2_000.0))
     one.admit(ORGANISATION, 60.0, 1, 0.0)
     held.take_report(("a", 1), one.report(0.0), 0.0)
@@ -195,12 +195,12 @@
     assert left[KEY] == pytest.approx(39.0)
 
 
-def test_a_region_that_comes_back_after_a_rest_is_given_nothing_for_it():
+def test_idle_region_regains_no_units_when_its_state_is_dropped():
     terms = Terms(0.0, 1_000.0, 2_000.0)
     north, south = account(terms), account(terms)
     north.take_report(("a", 1), report(60.0), 1.0)
     south.take_totals(NORTH, ("n", 1), north.totals(1.0), 1.0)
-    # What was admitted before it was heard of is not counted: 1 of 61 units is.
+    # Units before the first total are not counted: 1 of 61 units is.
     north.forget_idle(70_000.0)
     south.take_report(("b", 1), report(900.0), 70_000.0)
     north.take_report(("a", 1), report(61.0, 1.0), 70_000.0)
@@ -208,7 +208,7 @@
     assert south.take_report(("b", 1), report(900.0), 70_000.0)[KEY] == pytest.approx(99.0)
 
 
-def test_what_is_owed_is_not_forgiven_for_a_rest():
+def test_idle_debt_is_not_dropped():
     one, held = allowance(), account(Terms(1_000.0, 1_000.0, 1_000.0))
     one.admit(ORGANISATION, 200_000.0, 1, 0.0)
     held.take_report(("a", 1), one.report(0.0), 0.0)
