--- a/sparline/quarantine/tests/test_crash_table.py
+++ b/sparline/quarantine/tests/test_crash_table.py
@@ -11,8 +11,8 @@
     _crash_table,
 )
 
-ONE = RequestDigest(b"1" * 16)
-TWO = RequestDigest(b"2" * 16)
+DIGEST = RequestDigest(b"1" * 16)
+OTHER_DIGEST = RequestDigest(b"2" * 16)
 
 
 @pytest.fixture
@@ -22,14 +22,14 @@
     return time
 
 
-def ended(table: CrashTable, *servers: str, digest: RequestDigest = ONE) -> None:
+def ended(table: CrashTable, *servers: str, digest: RequestDigest = DIGEST) -> None:
     for server in servers:
         table.note_end(digest, server)
 
 
 def fact(*servers: str, cleared: tuple[str, ...] = (), age_ms: float = 0.0) -> CrashFact:
     keys = frozenset(_crash_table.run_key(one) for one in servers)
-    return CrashFact(ONE, keys, frozenset(_crash_table.run_key(one) for one in cleared), age_ms)
+    return CrashFact(DIGEST, keys, frozenset(_crash_table.run_key(one) for one in cleared), age_ms)
 
 
 VERDICTS = [
@@ -49,8 +49,8 @@
 def test_verdict_depends_on_number_of_servers(clock, servers, verdict):
     table = CrashTable()
     ended(table, *servers)
-    assert table.verdict(ONE) is verdict
-    assert table.verdict(TWO) is Verdict.CLEAR
+    assert table.verdict(DIGEST) is verdict
+    assert table.verdict(OTHER_DIGEST) is Verdict.CLEAR
 
 
 MERGES = [
@@ -69,35 +69,35 @@
         table = CrashTable()
         for servers in order:
             table.take([fact(*servers)])
-        assert table.ends(ONE) == ends
+        assert table.ends(DIGEST) == ends
 
 
 def test_complete_answer_clears_earlier_ends(clock):
     table = CrashTable()
     ended(table, "a", "b")
-    table.note_whole(ONE)
-    assert table.verdict(ONE) is Verdict.CLEAR
+    table.note_whole(DIGEST)
+    assert table.verdict(DIGEST) is Verdict.CLEAR
     # It also clears ends that an uninformed peer still reports.
     table.take([fact("a", "b")])
-    assert table.verdict(ONE) is Verdict.CLEAR
+    assert table.verdict(DIGEST) is Verdict.CLEAR
     clock[0] += _crash_table.ANSWERED_TTL_MS + 1
     ended(table, "c")
-    assert table.ends(ONE) == 1
+    assert table.ends(DIGEST) == 1
 
 
 def test_ends_cleared_by_a_peer_are_cleared(clock):
     table = CrashTable()
     ended(table, "a", "b", "c")
     assert table.take([fact("a", "b", "c", cleared=("a", "b", "c"))])
-    assert table.verdict(ONE) is Verdict.CLEAR
+    assert table.verdict(DIGEST) is Verdict.CLEAR
 
 
 def test_recently_answered_request_is_not_blamed_for_a_simultaneous_loss(clock):
     table = CrashTable()
-    table.note_whole(ONE)
+    table.note_whole(DIGEST)
     clock[0] += 100
     ended(table, "a", "b", "c")
-    assert table.verdict(ONE) is Verdict.CLEAR
+    assert table.verdict(DIGEST) is Verdict.CLEAR
     # The change is passed to instances that have not answered it yet.
     (told,) = table.take([fact("a", "b", "c")])
     assert told.concerns_suspect
@@ -106,10 +106,10 @@
 
 def test_complete_answer_expires(clock):
     table = CrashTable()
-    table.note_whole(ONE)
+    table.note_whole(DIGEST)
     clock[0] += _crash_table.ANSWERED_TTL_MS
     ended(table, "a", "b", "c")
-    assert table.verdict(ONE) is Verdict.QUARANTINED
+    assert table.verdict(DIGEST) is Verdict.QUARANTINED
 
 
 def test_quarantine_ends_as_suspect_and_doubles_with_each_further_end(clock):
@@ -117,11 +117,11 @@
     ended(table, "a", "b", "c")
     for number, times in enumerate((1, 2, 4)):
         clock[0] += times * _crash_table.QUARANTINE_MS - 1
-        assert table.verdict(ONE) is Verdict.QUARANTINED
+        assert table.verdict(DIGEST) is Verdict.QUARANTINED
         clock[0] += 1
-        assert table.verdict(ONE) is Verdict.SUSPECT
+        assert table.verdict(DIGEST) is Verdict.SUSPECT
         ended(table, f"d{number}")
-        assert table.verdict(ONE) is Verdict.QUARANTINED
+        assert table.verdict(DIGEST) is Verdict.QUARANTINED
 
 
 def test_repeated_fact_does_not_extend_quarantine(clock):
@@ -129,7 +129,7 @@
     ended(table, "a", "b", "c")
     clock[0] += _crash_table.QUARANTINE_MS / 2
     table.take([fact("a", "b", "c", age_ms=_crash_table.QUARANTINE_MS / 2)])
-    assert table.quarantine_left_ms(ONE) == _crash_table.QUARANTINE_MS / 2
+    assert table.quarantine_left_ms(DIGEST) == _crash_table.QUARANTINE_MS / 2
 
 
 def test_record_without_recent_end_is_dropped(clock):
@@ -147,7 +147,7 @@
     for number in range(3 * _crash_table.MAX_RECORDS):
         clock[0] += 1
         ended(table, "x", digest=RequestDigest(number.to_bytes(16, "big")))
-    assert table.verdict(ONE) is Verdict.QUARANTINED
+    assert table.verdict(DIGEST) is Verdict.QUARANTINED
     assert len(table._records) <= _crash_table.MAX_RECORDS
     assert evicted == []
 
@@ -166,11 +166,11 @@
     table = CrashTable()
     ended(table, "a", "b", "c")
     clock[0] += 100
-    ended(table, "a", digest=TWO)
-    assert [one.digest for one in table.facts(5, 50, 500)] == [ONE, TWO]
-    assert [one.digest for one in table.facts(1, 50, 500)] == [ONE]
+    ended(table, "a", digest=OTHER_DIGEST)
+    assert [one.digest for one in table.facts(5, 50, 500)] == [DIGEST, OTHER_DIGEST]
+    assert [one.digest for one in table.facts(1, 50, 500)] == [DIGEST]
     clock[0] += 100
-    assert [one.digest for one in table.facts(5, 50, 500)] == [ONE]
+    assert [one.digest for one in table.facts(5, 50, 500)] == [DIGEST]
     assert table.facts(5, 50, 150) == []
 
 
@@ -181,7 +181,7 @@
     )
     ended(table, "a", "a", "b")
     table.take([fact("a", "b", "c")])
-    table.note_whole(ONE)
+    table.note_whole(DIGEST)
     assert changes == [
         (0, 1, Learnt.HERE),
         (1, 2, Learnt.HERE),
--- a/sparline/quarantine/tests/test_server_ends.py
+++ b/sparline/quarantine/tests/test_server_ends.py
@@ -9,10 +9,10 @@
 SERVER = BackendServerId("e1")
 ADDRESS = ("127.0.0.1", 1)
 ONE = RequestDigest(b"1" * 16)
-BROKE_MS = 1_000_000.0
+ABORTED_AT_MS = 1_000_000.0
 
 
-class Seen:
+class FakeEnvironment:
     """Fake the network, the server's last activity and the log."""
 
     def __init__(self, reach: Reach) -> None:
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    time = [BROKE_MS]
+    time = [ABORTED_AT_MS]
     monkeypatch.setattr(_server_ends, "now_ms", lambda: time[0])
     return time
 
@@ -56,35 +56,35 @@
     ids=[row[0] for row in REACHES],
 )
 def test_probe_result_decides(clock, reach, unreachable, ends):
-    seen = Seen(reach)
-    server_ends = ServerEnds(seen.parts())
+    environment = FakeEnvironment(reach)
+    server_ends = ServerEnds(environment.parts())
     assert server_ends.reach(SERVER, ADDRESS) is reach
-    assert seen.unreachable == unreachable
-    assert seen.ends == ends
+    assert environment.unreachable == unreachable
+    assert environment.ends == ends
 
 
 def test_concurrent_callers_share_one_probe(clock):
-    seen = Seen(Reach.REFUSED)
-    server_ends = ServerEnds(seen.parts())
-    asking = [gevent.spawn(server_ends.reach, SERVER, ADDRESS) for _ in range(30)]
-    gevent.joinall(asking, timeout=20)
-    assert [one.value for one in asking] == [Reach.REFUSED] * 30
+    environment = FakeEnvironment(Reach.REFUSED)
+    server_ends = ServerEnds(environment.parts())
+    callers = [gevent.spawn(server_ends.reach, SERVER, ADDRESS) for _ in range(30)]
+    gevent.joinall(callers, timeout=20)
+    assert [one.value for one in callers] == [Reach.REFUSED] * 30
     assert server_ends.reach(SERVER, ADDRESS) is Reach.REFUSED
-    assert seen.probes == 1
-    assert len(seen.ends) == 1
+    assert environment.probes == 1
+    assert len(environment.ends) == 1
 
 
 def test_accepted_probe_is_not_reused(clock):
-    seen = Seen(Reach.OPEN)
-    server_ends = ServerEnds(seen.parts())
+    environment = FakeEnvironment(Reach.OPEN)
+    server_ends = ServerEnds(environment.parts())
     server_ends.reach(SERVER, ADDRESS)
-    seen.reach = Reach.REFUSED
+    environment.reach = Reach.REFUSED
     assert server_ends.reach(SERVER, ADDRESS) is Reach.REFUSED
 
 
 def test_waiters_are_released_when_the_probing_greenlet_is_killed(clock):
-    seen = Seen(Reach.REFUSED)
-    server_ends = ServerEnds(seen.parts())
+    environment = FakeEnvironment(Reach.REFUSED)
+    server_ends = ServerEnds(environment.parts())
     prober = gevent.spawn(server_ends.reach, SERVER, ADDRESS)
     gevent.sleep(0)
     waiting = gevent.spawn(server_ends.reach, SERVER, ADDRESS)
@@ -93,31 +93,33 @@
     assert waiting.get(timeout=20) is Reach.UNKNOWN
 
 
-WORDS = [
+REMOVALS = [
     ("removed soon, never heard again", 3_000.0, 0.0, [ONE]),
     ("removed long after", _server_ends.MAX_REMOVAL_DELAY_MS + 1, 0.0, []),
-    ("heard after the abort", 3_000.0, BROKE_MS + 1, []),
-    ("heard before the abort", 3_000.0, BROKE_MS - 1, [ONE]),
+    ("heard after the abort", 3_000.0, ABORTED_AT_MS + 1, []),
+    ("heard before the abort", 3_000.0, ABORTED_AT_MS - 1, [ONE]),
 ]
 
 
 @pytest.mark.parametrize(
-    ("after_ms", "heard_at_ms", "ended"), [row[1:] for row in WORDS], ids=[row[0] for row in WORDS]
+    ("after_ms", "heard_at_ms", "ended"),
+    [row[1:] for row in REMOVALS],
+    ids=[row[0] for row in REMOVALS],
 )
 def test_store_removal_explains_aborted_answers(clock, after_ms, heard_at_ms, ended):
-    seen = Seen(Reach.UNKNOWN)
-    server_ends = ServerEnds(seen.parts())
+    environment = FakeEnvironment(Reach.UNKNOWN)
+    server_ends = ServerEnds(environment.parts())
     server_ends.wait_for_word(ONE, SERVER)
     clock[0] += after_ms
-    seen.heard_at_ms = heard_at_ms
+    environment.heard_at_ms = heard_at_ms
     assert server_ends.note_gone(BackendServerId("another")) == []
     assert server_ends.note_gone(SERVER) == ended
     assert server_ends.note_gone(SERVER) == []
-    assert seen.ends == ([("e1", EndSign.GONE)] if ended else [])
+    assert environment.ends == ([("e1", EndSign.GONE)] if ended else [])
 
 
 def test_unexplained_aborts_are_bounded(clock):
-    server_ends = ServerEnds(Seen(Reach.UNKNOWN).parts())
+    server_ends = ServerEnds(FakeEnvironment(Reach.UNKNOWN).parts())
     for number in range(2 * _server_ends.MAX_UNEXPLAINED):
         clock[0] += 0.001
         server_ends.wait_for_word(ONE, BackendServerId(f"s{number}"))
@@ -147,22 +149,22 @@
     ("lost", "has_ended"), [row[1:] for row in WITNESSES], ids=[row[0] for row in WITNESSES]
 )
 def test_server_that_loses_every_connection_has_ended(clock, lost, has_ended):
-    seen = Seen(Reach.OPEN)
-    server_ends = ServerEnds(seen.parts())
+    environment = FakeEnvironment(Reach.OPEN)
+    server_ends = ServerEnds(environment.parts())
     found = server_ends.witnessed_end(SERVER, [Connection(one) for one in lost])
     assert (found is not None) is has_ended
-    assert seen.ends == ([(SERVER, EndSign.WITNESSED)] if has_ended else [])
+    assert environment.ends == ([(SERVER, EndSign.WITNESSED)] if has_ended else [])
 
 
 def test_two_ends_under_one_server_id_are_distinct(clock):
-    server_ends = ServerEnds(Seen(Reach.OPEN).parts())
+    server_ends = ServerEnds(FakeEnvironment(Reach.OPEN).parts())
     first = server_ends.witnessed_end(SERVER, [Connection(True)])
     clock[0] += 200
     assert server_ends.witnessed_end(SERVER, [Connection(True)]) != first
 
 
 def test_request_is_watched_after_an_unexplained_abort(clock):
-    server_ends = ServerEnds(Seen(Reach.OPEN).parts())
+    server_ends = ServerEnds(FakeEnvironment(Reach.OPEN).parts())
     assert not server_ends.has_doubts
     server_ends.wait_for_word(ONE, SERVER)
     assert server_ends.has_doubts
@@ -174,7 +176,7 @@
 
 
 def test_watched_requests_are_bounded(clock):
-    server_ends = ServerEnds(Seen(Reach.OPEN).parts())
+    server_ends = ServerEnds(FakeEnvironment(Reach.OPEN).parts())
     for number in range(2 * _server_ends.MAX_WATCHED):
         server_ends.wait_for_word(RequestDigest(b"%d" % number), SERVER)
     assert not server_ends.is_doubted(RequestDigest(b"0"))
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -19,11 +19,11 @@
 )
 from sparline.routes import Organisation, Quota, QuotaUnit
 
-ORE = OrganisationId("ore")
-KEY = quota_key(ORE)
+ORGANISATION_ID = OrganisationId("ore")
+KEY = quota_key(ORGANISATION_ID)
 PER_S = 1_000.0
 QUOTA = Quota(QuotaUnit.TOKENS, PER_S, PER_S, 200.0)
-ORGANISATION = Organisation(ORE, frozenset(), None, frozenset(), QUOTA)
+ORGANISATION = Organisation(ORGANISATION_ID, frozenset(), None, frozenset(), QUOTA)
 BOUNDS = QuotaBounds(window_s=8.0, excess=0.25, slack=750.0)
 NORTH, SOUTH = RegionName("north"), RegionName("south")
 
@@ -46,10 +46,10 @@
 
 
 def test_organisation_without_quota_is_never_refused():
-    free = Organisation(ORE, frozenset(), None, frozenset(), None)
+    unlimited = Organisation(ORGANISATION_ID, frozenset(), None, frozenset(), None)
     one = allowance()
-    assert all(one.admit(free, 1e9, 1, 0.0) is None for _ in range(9))
-    assert one.left(ORE, 0.0) is None
+    assert all(one.admit(unlimited, 1e9, 1, 0.0) is None for _ in range(9))
+    assert one.left(ORGANISATION_ID, 0.0) is None
 
 
 def test_request_above_remaining_quota_is_admitted_and_leaves_debt():
@@ -76,8 +76,8 @@
     assert report.uses == [Use(KEY, 10.0, 10.0, None)]
     one.admit(ORGANISATION, 5.0, 1, 0.0)
     one.take_word(report.sequence, {KEY: 500.0}, 1.0)
-    assert one.left(ORE, 1.0).units == 495.0
-    assert one.left(ORE, 1.0).is_fleets
+    assert one.left(ORGANISATION_ID, 1.0).units == 495.0
+    assert one.left(ORGANISATION_ID, 1.0).is_fleets
     assert one.report(2.0).uses == [Use(KEY, 15.0, 5.0, 495.0)]
 
 
@@ -89,7 +89,7 @@
     second = one.report(1.0)
     one.take_word(second.sequence, {KEY: 300.0}, 2.0)
     one.take_word(first.sequence, {KEY: 900.0}, 3.0)
-    assert one.left(ORE, 3.0).units == 300.0
+    assert one.left(ORGANISATION_ID, 3.0).units == 300.0
 
 
 def test_unanswered_report_falls_back_to_own_share():
@@ -99,7 +99,7 @@
     one.admit(ORGANISATION, 10.0, 10, 10.0)
     one.report(20.0)
     one.admit(ORGANISATION, 1.0, 10, 800.0)
-    left = one.left(ORE, 800.0)
+    left = one.left(ORGANISATION_ID, 800.0)
     assert not left.is_fleets
     assert left.units <= make_terms(QUOTA, BOUNDS).most / 10
 
@@ -107,20 +107,20 @@
 def test_settle_returns_units_not_run_and_charges_reruns():
     one = allowance()
     one.admit(ORGANISATION, 10.0, 1, 0.0)
-    before = one.left(ORE, 0.0).units
-    one.settle(ORE, -10.0)
-    assert one.left(ORE, 0.0).units == before + 10.0
-    one.settle(ORE, 10.0)
+    before = one.left(ORGANISATION_ID, 0.0).units
+    one.settle(ORGANISATION_ID, -10.0)
+    assert one.left(ORGANISATION_ID, 0.0).units == before + 10.0
+    one.settle(ORGANISATION_ID, 10.0)
     assert one.report(0.0).uses[0].total == 10.0
 
 
 def test_backward_clock_jump_grants_no_units():
     one = allowance()
     one.admit(ORGANISATION, 1_000.0, 1, 50_000.0)
-    left = one.left(ORE, 50_000.0).units
+    left = one.left(ORGANISATION_ID, 50_000.0).units
     one.admit(ORGANISATION, 1.0, 1, 10_000.0)
     one.admit(ORGANISATION, 1.0, 1, 50_000.0)
-    assert one.left(ORE, 50_000.0).units <= left
+    assert one.left(ORGANISATION_ID, 50_000.0).units <= left
 
 
 def account(terms: Terms | None = None) -> Account:
@@ -185,13 +185,13 @@
 
 def test_idle_organisation_regains_no_units_when_its_state_is_dropped():
     # The instance drops its idle state meanwhile; the coordinator keeps its state for others.
-    one, held = allowance(), account(Terms(0.0, 1_000.0, 2_000.0))
+    one, coordinator = allowance(), account(Terms(0.0, 1_000.0, 2_000.0))
     one.admit(ORGANISATION, 60.0, 1, 0.0)
-    held.take_report(("a", 1), one.report(0.0), 0.0)
-    held.take_report(("b", 1), report(900.0), 70_000.0)
+    coordinator.take_report(("a", 1), one.report(0.0), 0.0)
+    coordinator.take_report(("b", 1), report(900.0), 70_000.0)
     one.forget_idle(70_000.0)
     one.admit(ORGANISATION, 1.0, 1, 70_000.0)
-    left = held.take_report(("a", 1), one.report(70_000.0), 70_000.0)
+    left = coordinator.take_report(("a", 1), one.report(70_000.0), 70_000.0)
     assert left[KEY] == pytest.approx(39.0)
 
 
@@ -209,10 +209,10 @@
 
 
 def test_idle_debt_is_not_dropped():
-    one, held = allowance(), account(Terms(1_000.0, 1_000.0, 1_000.0))
+    one, coordinator = allowance(), account(Terms(1_000.0, 1_000.0, 1_000.0))
     one.admit(ORGANISATION, 200_000.0, 1, 0.0)
-    held.take_report(("a", 1), one.report(0.0), 0.0)
+    coordinator.take_report(("a", 1), one.report(0.0), 0.0)
     one.forget_idle(70_000.0)
-    held.forget_idle(70_000.0)
+    coordinator.forget_idle(70_000.0)
     assert one.admit(ORGANISATION, 1.0, 1, 70_000.0) is not None
-    assert held.take_report(("b", 1), report(0.0), 70_000.0)[KEY] < 0
+    assert coordinator.take_report(("b", 1), report(0.0), 70_000.0)[KEY] < 0
