--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -57,7 +57,7 @@
     WatchTables,
 )
 from sparline.quarantine import CrashTable
-from sparline.quotas import NO_ROOM, Allowance
+from sparline.quotas import NO_ROOM, QuotaLimiter
 from sparline.requests import Origin, Prompt, PromptStart, RoutedRequest
 from sparline.routes import (
     DEFAULT_LIMITS,
@@ -211,7 +211,9 @@
             self.members,
             self.exchange,
             CrashExchange(CrashTable()),
-            QuotaExchange(self.members, Allowance(NO_ROOM, random.Random(ip)), lambda _key: None),
+            QuotaExchange(
+                self.members, QuotaLimiter(NO_ROOM, random.Random(ip)), lambda _key: None
+            ),
             GossipSources(
                 recent_reads=self._cache.recent_reads,
                 take_reads=self._cache.take_reads,
--- a/sparline/fleet/_quota_exchange.py
+++ b/sparline/fleet/_quota_exchange.py
@@ -11,7 +11,7 @@
 from sparline._hashing import hash64
 from sparline._ids import OrganisationId, RegionName
 from sparline.fleet._members import Members
-from sparline.quotas import Account, Allowance, Left, RegionTotal, Report, Terms, Use
+from sparline.quotas import Account, Left, QuotaLimiter, RegionTotal, Report, Terms, Use
 from sparline.routes import Organisation
 from sparline.schema._gossip import (
     QuotaLevelNote,
@@ -47,7 +47,7 @@
     def __init__(
         self,
         members: Members,
-        allowance: Allowance,
+        allowance: QuotaLimiter,
         terms_of: Callable[[int], Terms | None],
     ) -> None:
         """Exchange with the members of a fleet; `terms_of` returns a quota's terms by its key."""
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -78,7 +78,7 @@
     relayed_refusal_headers,
 )
 from sparline.quarantine import CrashChange, CrashTable, EndParts, ServerEnds
-from sparline.quotas import NO_ROOM, Allowance, QuotaBounds
+from sparline.quotas import NO_ROOM, QuotaBounds, QuotaLimiter
 from sparline.requests import is_withdrawn
 from sparline.schema._gateway import GatewaySettings
 from sparline.schema._gossip import MemberPhase
@@ -148,7 +148,7 @@
         bounds = QuotaBounds(borne.window_s, borne.excess, borne.slack) if borne else NO_ROOM
         self.quota_exchange = QuotaExchange(
             self.members,
-            Allowance(bounds, random.Random()),
+            QuotaLimiter(bounds, random.Random()),
             QuotaTerms(self.fleet, bounds).of,
         )
         self.quotas = Quotas(self.quota_exchange, lambda: self.gossip, self.metrics)
--- a/sparline/quotas/__init__.py
+++ b/sparline/quotas/__init__.py
@@ -7,17 +7,17 @@
 """
 
 from sparline.quotas._account import Account, RegionTotal
-from sparline.quotas._allowance import Allowance, Left, Report, Use
+from sparline.quotas._allowance import Left, QuotaLimiter, Report, Use
 from sparline.quotas._level import FleetLevel
 from sparline.quotas._terms import NO_ROOM, QuotaBounds, Terms, make_terms, quota_key
 
 __all__ = [
     "NO_ROOM",
     "Account",
-    "Allowance",
     "FleetLevel",
     "Left",
     "QuotaBounds",
+    "QuotaLimiter",
     "RegionTotal",
     "Report",
     "Terms",
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -105,7 +105,7 @@
     totals: dict[int, float] = field(default_factory=dict)  # reported totals by quota key
 
 
-class Allowance:
+class QuotaLimiter:
     """Admit requests by quota; the owner transports reports and answers."""
 
     def __init__(self, bounds: QuotaBounds, rng: random.Random) -> None:
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -7,9 +7,9 @@
 from sparline._ids import OrganisationId, RegionName
 from sparline.quotas import (
     Account,
-    Allowance,
     FleetLevel,
     QuotaBounds,
+    QuotaLimiter,
     RegionTotal,
     Report,
     Terms,
@@ -28,8 +28,8 @@
 NORTH, SOUTH = RegionName("north"), RegionName("south")
 
 
-def allowance() -> Allowance:
-    return Allowance(BOUNDS, random.Random(1))
+def allowance() -> QuotaLimiter:
+    return QuotaLimiter(BOUNDS, random.Random(1))
 
 
 COSTS = [
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -38,7 +38,7 @@
     _server_limits,
 )
 from sparline.quarantine import CrashTable, _crash_table
-from sparline.quotas import NO_ROOM, Allowance, QuotaBounds, Terms, make_terms, quota_key
+from sparline.quotas import NO_ROOM, QuotaBounds, QuotaLimiter, Terms, make_terms, quota_key
 from sparline.routes import Organisation
 from sparline.schema._gossip import MemberNote, MemberPhase
 
@@ -178,7 +178,9 @@
                 lambda _server_id, _shown_log: None,
             ),
         )
-        quotas = QuotaExchange(members, Allowance(self.quota_bounds, self.chance), self.quota_terms)
+        quotas = QuotaExchange(
+            members, QuotaLimiter(self.quota_bounds, self.chance), self.quota_terms
+        )
         server_limits = ServerLimitTable()
         server_limits._chance = random.Random(ip)
         sources = GossipSources(
