--- a/sparline/fleet/_quota_exchange.py
+++ b/sparline/fleet/_quota_exchange.py
@@ -11,7 +11,7 @@
 from sparline._hashing import hash64
 from sparline._ids import OrganisationId, RegionName
 from sparline.fleet._members import Members
-from sparline.quotas import Account, Left, QuotaLimiter, RegionTotal, Report, Terms, Use
+from sparline.quotas import Left, QuotaCoordinator, QuotaLimiter, RegionTotal, Report, Terms, Use
 from sparline.routes import Organisation
 from sparline.schema._gossip import (
     QuotaLevelNote,
@@ -54,7 +54,7 @@
         self.allowance = allowance
         self._members = members
         self._region = RegionName(members.own.region)
-        self.account = Account(self._region, terms_of, self._parts)
+        self.account = QuotaCoordinator(self._region, terms_of, self._parts)
         self._passed_over: dict[str, float] = {}  # silent account holders, until when
         self._reported_to = ""
         self._siblings = 1  # instances of the region, as of the last round
--- a/sparline/quotas/__init__.py
+++ b/sparline/quotas/__init__.py
@@ -6,17 +6,17 @@
 own share of the quota.
 """
 
-from sparline.quotas._account import Account, RegionTotal
+from sparline.quotas._account import QuotaCoordinator, RegionTotal
 from sparline.quotas._allowance import Left, QuotaLimiter, Report, Use
 from sparline.quotas._level import FleetLevel
 from sparline.quotas._terms import NO_ROOM, QuotaBounds, Terms, make_terms, quota_key
 
 __all__ = [
     "NO_ROOM",
-    "Account",
     "FleetLevel",
     "Left",
     "QuotaBounds",
+    "QuotaCoordinator",
     "QuotaLimiter",
     "RegionTotal",
     "Report",
--- a/sparline/quotas/_account.py
+++ b/sparline/quotas/_account.py
@@ -44,7 +44,7 @@
     total_changed_at_ms: float = 0.0  # time when `total` last changed
 
 
-class Account:
+class QuotaCoordinator:
     """Aggregate the reports of a region's instances and the totals of other regions.
 
     Every instance may become the coordinator of its region.
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -6,9 +6,9 @@
 
 from sparline._ids import OrganisationId, RegionName
 from sparline.quotas import (
-    Account,
     FleetLevel,
     QuotaBounds,
+    QuotaCoordinator,
     QuotaLimiter,
     RegionTotal,
     Report,
@@ -123,9 +123,9 @@
     assert one.left(ORGANISATION_ID, 50_000.0).units <= left
 
 
-def account(terms: Terms | None = None) -> Account:
+def account(terms: Terms | None = None) -> QuotaCoordinator:
     found = terms or make_terms(QUOTA, BOUNDS)
-    return Account(
+    return QuotaCoordinator(
         NORTH, lambda key: found if key == KEY else None, lambda: {NORTH: 0.5, SOUTH: 0.5}
     )
 
