--- a/sparline/fleet/_quota_exchange.py
+++ b/sparline/fleet/_quota_exchange.py
@@ -11,7 +11,15 @@
 from sparline._hashing import hash64
 from sparline._ids import OrganisationId, RegionName
 from sparline.fleet._members import Members
-from sparline.quotas import Left, QuotaCoordinator, QuotaLimiter, RegionTotal, Report, Terms, Use
+from sparline.quotas import (
+    QuotaCoordinator,
+    QuotaLimiter,
+    RegionTotal,
+    RemainingQuota,
+    Report,
+    Terms,
+    Use,
+)
 from sparline.routes import Organisation
 from sparline.schema._gossip import (
     QuotaLevelNote,
@@ -72,7 +80,7 @@
         """Take more off for a request that ran again, or give back what did not run (below zero)."""
         self.allowance.settle(organisation, units)
 
-    def left(self, organisation: OrganisationId) -> Left | None:
+    def left(self, organisation: OrganisationId) -> RemainingQuota | None:
         """Return what is taken to be left of a quota, None where it is unused here."""
         return self.allowance.left(organisation, now_ms())
 
--- a/sparline/quotas/__init__.py
+++ b/sparline/quotas/__init__.py
@@ -7,18 +7,18 @@
 """
 
 from sparline.quotas._account import QuotaCoordinator, RegionTotal
-from sparline.quotas._allowance import Left, QuotaLimiter, Report, Use
+from sparline.quotas._allowance import QuotaLimiter, RemainingQuota, Report, Use
 from sparline.quotas._level import FleetLevel
 from sparline.quotas._terms import NO_ROOM, QuotaBounds, Terms, make_terms, quota_key
 
 __all__ = [
     "NO_ROOM",
     "FleetLevel",
-    "Left",
     "QuotaBounds",
     "QuotaCoordinator",
     "QuotaLimiter",
     "RegionTotal",
+    "RemainingQuota",
     "Report",
     "Terms",
     "Use",
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class RemainingQuota:
     """Represent the remaining quota as estimated by an instance."""
 
     units: float  # negative when in debt
@@ -270,13 +270,13 @@
             if now - one.requested_at_ms < IDLE_MS or _is_in_debt(one, now)
         }
 
-    def left(self, organisation: OrganisationId, now: float) -> Left | None:
+    def left(self, organisation: OrganisationId, now: float) -> RemainingQuota | None:
         """Return the estimated remaining quota, None when it is unused here."""
         state = self._states.get(quota_key(organisation))
         if state is None:
             return None
         age_ms = now - state.answered_at_ms if math.isfinite(state.answered_at_ms) else None
-        return Left(state.level, state.has_answer, age_ms)
+        return RemainingQuota(state.level, state.has_answer, age_ms)
 
 
 def _is_in_debt(state: _QuotaState, now: float) -> bool:
