--- a/sparline/fleet/_quota_exchange.py
+++ b/sparline/fleet/_quota_exchange.py
@@ -14,11 +14,11 @@
 from sparline.quotas import (
     QuotaCoordinator,
     QuotaLimiter,
+    QuotaUsage,
     RegionTotal,
     RemainingQuota,
     Report,
     Terms,
-    Use,
 )
 from sparline.routes import Organisation
 from sparline.schema._gossip import (
@@ -173,10 +173,10 @@
         return RegionName(f"{told.region}/{told.ip}")
 
 
-def _note_of(use: Use) -> QuotaUseNote:
+def _note_of(use: QuotaUsage) -> QuotaUseNote:
     level = None if use.level is None else round(use.level)
     return QuotaUseNote(use.key, round(use.total), round(use.unsaid), level)
 
 
-def _use_of(note: QuotaUseNote) -> Use:
-    return Use(note.key, note.total, note.unsaid, note.level)
+def _use_of(note: QuotaUseNote) -> QuotaUsage:
+    return QuotaUsage(note.key, note.total, note.unsaid, note.level)
--- a/sparline/quotas/__init__.py
+++ b/sparline/quotas/__init__.py
@@ -7,7 +7,7 @@
 """
 
 from sparline.quotas._account import QuotaCoordinator, RegionTotal
-from sparline.quotas._allowance import QuotaLimiter, RemainingQuota, Report, Use
+from sparline.quotas._allowance import QuotaLimiter, QuotaUsage, RemainingQuota, Report
 from sparline.quotas._level import FleetLevel
 from sparline.quotas._terms import NO_ROOM, QuotaBounds, Terms, make_terms, quota_key
 
@@ -17,11 +17,11 @@
     "QuotaBounds",
     "QuotaCoordinator",
     "QuotaLimiter",
+    "QuotaUsage",
     "RegionTotal",
     "RemainingQuota",
     "Report",
     "Terms",
-    "Use",
     "make_terms",
     "quota_key",
 ]
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
+class QuotaUsage:
     """Represent the units that an instance has admitted against one quota."""
 
     key: int  # quota key of the organisation
@@ -57,7 +57,7 @@
     """Report the units admitted by an instance to the coordinator."""
 
     sequence: int  # repeated in the answer
-    uses: list[Use]  # of the organisations with requests since the last report
+    uses: list[QuotaUsage]  # of the organisations with requests since the last report
 
 
 @dataclass(frozen=True, slots=True)
@@ -224,7 +224,7 @@
                 state.answered_level if now - state.answered_at_ms < MAX_HANDOVER_AGE_MS else None
             )
             uses.append(
-                Use(
+                QuotaUsage(
                     key,
                     state.admitted.total,
                     state.admitted.total - state.admitted.acknowledged,
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -10,10 +10,10 @@
     QuotaBounds,
     QuotaCoordinator,
     QuotaLimiter,
+    QuotaUsage,
     RegionTotal,
     Report,
     Terms,
-    Use,
     make_terms,
     quota_key,
 )
@@ -73,12 +73,12 @@
     one = allowance()
     one.admit(ORGANISATION, 10.0, 1, 0.0)
     report = one.report(0.0)
-    assert report.uses == [Use(KEY, 10.0, 10.0, None)]
+    assert report.uses == [QuotaUsage(KEY, 10.0, 10.0, None)]
     one.admit(ORGANISATION, 5.0, 1, 0.0)
     one.take_word(report.sequence, {KEY: 500.0}, 1.0)
     assert one.left(ORGANISATION_ID, 1.0).units == 495.0
     assert one.left(ORGANISATION_ID, 1.0).is_fleets
-    assert one.report(2.0).uses == [Use(KEY, 15.0, 5.0, 495.0)]
+    assert one.report(2.0).uses == [QuotaUsage(KEY, 15.0, 5.0, 495.0)]
 
 
 def test_overtaken_answer_is_ignored():
@@ -131,7 +131,7 @@
 
 
 def report(total: float, unsaid: float | None = None, level: float | None = None) -> Report:
-    return Report(1, [Use(KEY, total, total if unsaid is None else unsaid, level)])
+    return Report(1, [QuotaUsage(KEY, total, total if unsaid is None else unsaid, level)])
 
 
 def test_repeated_totals_count_once():
@@ -150,7 +150,9 @@
 
 
 def test_use_of_unknown_organisation_is_ignored():
-    assert account().take_report(("a", 1), Report(1, [Use(KEY + 1, 1.0, 1.0, None)]), 0.0) == {}
+    assert (
+        account().take_report(("a", 1), Report(1, [QuotaUsage(KEY + 1, 1.0, 1.0, None)]), 0.0) == {}
+    )
 
 
 def test_use_of_another_region_is_subtracted():
