--- a/sparline/fleet/_quota_exchange.py
+++ b/sparline/fleet/_quota_exchange.py
@@ -17,8 +17,8 @@
     QuotaUsage,
     RegionTotal,
     RemainingQuota,
-    Report,
     Terms,
+    UsageReport,
 )
 from sparline.routes import Organisation
 from sparline.schema._gossip import (
@@ -151,7 +151,7 @@
         now = now_ms()
         match message:
             case QuotaReport():
-                report = Report(message.sequence, [_use_of(note) for note in message.uses])
+                report = UsageReport(message.sequence, [_use_of(note) for note in message.uses])
                 member = (message.ip, message.incarnation)
                 levels = self.account.take_report(member, report, now)
                 notes = [QuotaLevelNote(key, round(level)) for key, level in levels.items()]
--- a/sparline/quotas/__init__.py
+++ b/sparline/quotas/__init__.py
@@ -7,7 +7,7 @@
 """
 
 from sparline.quotas._account import QuotaCoordinator, RegionTotal
-from sparline.quotas._allowance import QuotaLimiter, QuotaUsage, RemainingQuota, Report
+from sparline.quotas._allowance import QuotaLimiter, QuotaUsage, RemainingQuota, UsageReport
 from sparline.quotas._level import FleetLevel
 from sparline.quotas._terms import NO_ROOM, QuotaBounds, Terms, make_terms, quota_key
 
@@ -20,8 +20,8 @@
     "QuotaUsage",
     "RegionTotal",
     "RemainingQuota",
-    "Report",
     "Terms",
+    "UsageReport",
     "make_terms",
     "quota_key",
 ]
--- a/sparline/quotas/_account.py
+++ b/sparline/quotas/_account.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from sparline._ids import RegionName
-from sparline.quotas._allowance import Report
+from sparline.quotas._allowance import UsageReport
 from sparline.quotas._level import FleetLevel
 from sparline.quotas._terms import Terms
 
@@ -75,7 +75,9 @@
         self._totals_sent_at_ms = 0.0
         self._is_send_urgent = False
 
-    def take_report(self, member: tuple[str, int], report: Report, now: float) -> dict[int, float]:
+    def take_report(
+        self, member: tuple[str, int], report: UsageReport, now: float
+    ) -> dict[int, float]:
         """Apply the report of an instance; return the remaining units by quota key.
 
         `member` identifies one run of an instance; its totals restart from zero with each run.
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class UsageReport:
     """Report the units admitted by an instance to the coordinator."""
 
     sequence: int  # repeated in the answer
@@ -203,7 +203,7 @@
             _affects_others(one, siblings, is_within_interval) for one in self._states.values()
         )
 
-    def report(self, now: float) -> Report:
+    def report(self, now: float) -> UsageReport:
         """Create a report of the units admitted since the last one."""
         self._sequence += 1
         self._last_report_at_ms = now
@@ -234,7 +234,7 @@
         self._unanswered[self._sequence] = sent
         if len(self._unanswered) > MAX_UNANSWERED_REPORTS:
             self._unanswered.popitem(last=False)
-        return Report(self._sequence, uses)
+        return UsageReport(self._sequence, uses)
 
     def is_unanswered(self, now: float) -> bool:
         """Return whether the coordinator has failed to answer within `ANSWER_MS`."""
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -12,8 +12,8 @@
     QuotaLimiter,
     QuotaUsage,
     RegionTotal,
-    Report,
     Terms,
+    UsageReport,
     make_terms,
     quota_key,
 )
@@ -130,8 +130,8 @@
     )
 
 
-def report(total: float, unsaid: float | None = None, level: float | None = None) -> Report:
-    return Report(1, [QuotaUsage(KEY, total, total if unsaid is None else unsaid, level)])
+def report(total: float, unsaid: float | None = None, level: float | None = None) -> UsageReport:
+    return UsageReport(1, [QuotaUsage(KEY, total, total if unsaid is None else unsaid, level)])
 
 
 def test_repeated_totals_count_once():
@@ -151,7 +151,8 @@
 
 def test_use_of_unknown_organisation_is_ignored():
     assert (
-        account().take_report(("a", 1), Report(1, [QuotaUsage(KEY + 1, 1.0, 1.0, None)]), 0.0) == {}
+        account().take_report(("a", 1), UsageReport(1, [QuotaUsage(KEY + 1, 1.0, 1.0, None)]), 0.0)
+        == {}
     )
 
 
