--- a/sparline/fleet/_quota_exchange.py
+++ b/sparline/fleet/_quota_exchange.py
@@ -14,10 +14,10 @@
 from sparline.quotas import (
     QuotaCoordinator,
     QuotaLimiter,
+    QuotaParameters,
     QuotaUsage,
     RegionTotal,
     RemainingQuota,
-    Terms,
     UsageReport,
 )
 from sparline.routes import Organisation
@@ -56,7 +56,7 @@
         self,
         members: Members,
         allowance: QuotaLimiter,
-        terms_of: Callable[[int], Terms | None],
+        terms_of: Callable[[int], QuotaParameters | None],
     ) -> None:
         """Exchange with the members of a fleet; `terms_of` returns a quota's terms by its key."""
         self.allowance = allowance
--- a/sparline/gateway/_quotas.py
+++ b/sparline/gateway/_quotas.py
@@ -9,7 +9,7 @@
 from sparline.fleet import FleetState, GossipPort, QuotaExchange
 from sparline.gateway._log_output import LineBudget
 from sparline.gateway._metrics import GatewayMetrics
-from sparline.quotas import QuotaBounds, Terms, make_terms, quota_key
+from sparline.quotas import QuotaBounds, QuotaParameters, make_terms, quota_key
 from sparline.requests import KnownCaller, Prompt, RoutedRequest
 from sparline.routes import Configuration, Organisation
 
@@ -27,9 +27,9 @@
         self._fleet = fleet
         self._bounds = bounds
         self._configuration: Configuration | None = None
-        self._by_key: dict[int, Terms] = {}
+        self._by_key: dict[int, QuotaParameters] = {}
 
-    def of(self, key: int) -> Terms | None:
+    def of(self, key: int) -> QuotaParameters | None:
         """Return the terms, None where the organisation is unknown or has no quota."""
         configuration = self._fleet.configuration
         if configuration is not self._configuration:
@@ -37,7 +37,7 @@
             self._by_key = self._read(configuration)
         return self._by_key.get(key)
 
-    def _read(self, configuration: Configuration | None) -> dict[int, Terms]:
+    def _read(self, configuration: Configuration | None) -> dict[int, QuotaParameters]:
         known = configuration.organisations if configuration else None
         if known is None:
             return {}
--- a/sparline/quotas/__init__.py
+++ b/sparline/quotas/__init__.py
@@ -9,7 +9,7 @@
 from sparline.quotas._account import QuotaCoordinator, RegionTotal
 from sparline.quotas._allowance import QuotaLimiter, QuotaUsage, RemainingQuota, UsageReport
 from sparline.quotas._level import FleetLevel
-from sparline.quotas._terms import NO_ROOM, QuotaBounds, Terms, make_terms, quota_key
+from sparline.quotas._terms import NO_ROOM, QuotaBounds, QuotaParameters, make_terms, quota_key
 
 __all__ = [
     "NO_ROOM",
@@ -17,10 +17,10 @@
     "QuotaBounds",
     "QuotaCoordinator",
     "QuotaLimiter",
+    "QuotaParameters",
     "QuotaUsage",
     "RegionTotal",
     "RemainingQuota",
-    "Terms",
     "UsageReport",
     "make_terms",
     "quota_key",
--- a/sparline/quotas/_account.py
+++ b/sparline/quotas/_account.py
@@ -6,7 +6,7 @@
 from sparline._ids import RegionName
 from sparline.quotas._allowance import UsageReport
 from sparline.quotas._level import FleetLevel
-from sparline.quotas._terms import Terms
+from sparline.quotas._terms import QuotaParameters
 
 # A region is silent when its coordinator was not heard from for this long (ms): a gossip round, the
 # network delay and a margin.
@@ -53,7 +53,7 @@
     def __init__(
         self,
         region: RegionName,
-        terms_of: Callable[[int], Terms | None],
+        terms_of: Callable[[int], QuotaParameters | None],
         region_shares: Callable[[], dict[RegionName, float]],
     ) -> None:
         """Create the aggregate of a region.
@@ -114,7 +114,7 @@
         )
 
     def _ensure_state(
-        self, key: int, terms: Terms, reported_level: float | None, now: float
+        self, key: int, terms: QuotaParameters, reported_level: float | None, now: float
     ) -> _QuotaState:
         state = self._states.get(key)
         if state is None:
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from sparline._ids import OrganisationId
-from sparline.quotas._terms import QuotaBounds, Terms, make_terms, quota_key
+from sparline.quotas._terms import QuotaBounds, QuotaParameters, make_terms, quota_key
 from sparline.routes import Organisation
 
 # Admitted units are reported at this interval while much quota is left (ms), and at once when
@@ -87,7 +87,7 @@
     """Hold this instance's state of one organisation's quota."""
 
     admitted: _AdmittedUnits  # admitted units
-    terms: Terms  # refill parameters
+    terms: QuotaParameters  # refill parameters
     level: float  # remaining units, negative when in debt
     at_ms: float  # time of `level`
     requested_at_ms: float  # time of the last request
--- a/sparline/quotas/_level.py
+++ b/sparline/quotas/_level.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from sparline._ids import RegionName
-from sparline.quotas._terms import Terms
+from sparline.quotas._terms import QuotaParameters
 
 # Time constant of the decay of a region's reported use in its extrapolated rate (ms): two gossip
 # rounds, since their updates may arrive close together.
@@ -39,14 +39,14 @@
     `at` advances the level to the given time; call it before `use` and `take_word`.
     """
 
-    def __init__(self, terms: Terms, level: float, now: float) -> None:
+    def __init__(self, terms: QuotaParameters, level: float, now: float) -> None:
         """Start from the given level at the time `now`."""
         self._terms = terms
         self._level = level
         self._at_ms = now
         self._remote_uses: dict[RegionName, _RemoteUse] = {}
 
-    def change(self, terms: Terms) -> None:
+    def change(self, terms: QuotaParameters) -> None:
         """Switch to other refill parameters; units above the new upper bound are discarded."""
         self._terms = terms
         self._level = min(self._level, terms.most)
--- a/sparline/quotas/_terms.py
+++ b/sparline/quotas/_terms.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class QuotaParameters:
     """Define the refill parameters of a quota's token bucket."""
 
     per_s: float  # units added each second
@@ -40,13 +40,15 @@
     first: float  # initial level when prior use is unknown
 
 
-def make_terms(quota: Quota, bounds: QuotaBounds) -> Terms:
+def make_terms(quota: Quota, bounds: QuotaBounds) -> QuotaParameters:
     """Return the refill parameters of a quota.
 
     The initial level stays within the tolerance, so that a restart doesn't grant a second burst.
     """
     used = TOLERANCE_USED * bounds.room(quota)
-    return Terms(quota.per_s, quota.burst + used, max(used, INITIAL_FRACTION * quota.burst))
+    return QuotaParameters(
+        quota.per_s, quota.burst + used, max(used, INITIAL_FRACTION * quota.burst)
+    )
 
 
 def quota_key(organisation: OrganisationId) -> int:
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -10,9 +10,9 @@
     QuotaBounds,
     QuotaCoordinator,
     QuotaLimiter,
+    QuotaParameters,
     QuotaUsage,
     RegionTotal,
-    Terms,
     UsageReport,
     make_terms,
     quota_key,
@@ -123,7 +123,7 @@
     assert one.left(ORGANISATION_ID, 50_000.0).units <= left
 
 
-def account(terms: Terms | None = None) -> QuotaCoordinator:
+def account(terms: QuotaParameters | None = None) -> QuotaCoordinator:
     found = terms or make_terms(QUOTA, BOUNDS)
     return QuotaCoordinator(
         NORTH, lambda key: found if key == KEY else None, lambda: {NORTH: 0.5, SOUTH: 0.5}
@@ -135,7 +135,7 @@
 
 
 def test_repeated_totals_count_once():
-    one = account(Terms(0.0, 1_000.0, 2_000.0))
+    one = account(QuotaParameters(0.0, 1_000.0, 2_000.0))
     one.take_report(("a", 1), report(100.0), 0.0)
     assert one.take_report(("a", 1), report(100.0), 0.0) == {KEY: 900.0}
     assert one.take_report(("b", 1), report(50.0), 0.0) == {KEY: 850.0}
@@ -144,7 +144,7 @@
 
 
 def test_new_coordinator_continues_from_the_level_in_a_report():
-    one = account(Terms(0.0, 1_000.0, 2_000.0))
+    one = account(QuotaParameters(0.0, 1_000.0, 2_000.0))
     assert one.take_report(("a", 1), report(5_000.0, 30.0, 200.0), 0.0) == {KEY: 200.0}
     assert one.take_report(("b", 1), report(7_000.0, 30.0, 200.0), 0.0) == {KEY: 170.0}
 
@@ -157,7 +157,7 @@
 
 
 def test_use_of_another_region_is_subtracted():
-    one = account(Terms(0.0, 1_000.0, 2_000.0))
+    one = account(QuotaParameters(0.0, 1_000.0, 2_000.0))
     one.take_totals(SOUTH, ("s", 1), [RegionTotal(KEY, 70.0)], 0.0)
     one.take_report(("a", 1), report(100.0), 0.0)
     one.take_totals(SOUTH, ("s", 1), [RegionTotal(KEY, 120.0)], 0.0)
@@ -165,7 +165,7 @@
 
 
 def test_partitioned_regions_together_stay_within_the_quota():
-    terms = Terms(PER_S, 1_000.0, 1_000.0)
+    terms = QuotaParameters(PER_S, 1_000.0, 1_000.0)
     sides = [FleetLevel(terms, 1_000.0, 0.0) for _ in range(2)]
     for one, other in zip(sides, (SOUTH, NORTH), strict=True):
         one.take_word(other, 0.0, 0.0)
@@ -179,7 +179,7 @@
 
 
 def test_update_after_silence_replaces_assumed_use():
-    one = FleetLevel(Terms(PER_S, 1_000.0, 1_000.0), 500.0, 0.0)
+    one = FleetLevel(QuotaParameters(PER_S, 1_000.0, 1_000.0), 500.0, 0.0)
     one.take_word(SOUTH, 0.0, 0.0)
     one.at(1_000.0, {SOUTH: 0.5})
     one.take_word(SOUTH, 0.0, 1_000.0)
@@ -188,7 +188,7 @@
 
 def test_idle_organisation_regains_no_units_when_its_state_is_dropped():
     # The instance drops its idle state meanwhile; the coordinator keeps its state for others.
-    one, coordinator = allowance(), account(Terms(0.0, 1_000.0, 2_000.0))
+    one, coordinator = allowance(), account(QuotaParameters(0.0, 1_000.0, 2_000.0))
     one.admit(ORGANISATION, 60.0, 1, 0.0)
     coordinator.take_report(("a", 1), one.report(0.0), 0.0)
     coordinator.take_report(("b", 1), report(900.0), 70_000.0)
@@ -199,7 +199,7 @@
 
 
 def test_idle_region_regains_no_units_when_its_state_is_dropped():
-    terms = Terms(0.0, 1_000.0, 2_000.0)
+    terms = QuotaParameters(0.0, 1_000.0, 2_000.0)
     north, south = account(terms), account(terms)
     north.take_report(("a", 1), report(60.0), 1.0)
     south.take_totals(NORTH, ("n", 1), north.totals(1.0), 1.0)
@@ -212,7 +212,7 @@
 
 
 def test_idle_debt_is_not_dropped():
-    one, coordinator = allowance(), account(Terms(1_000.0, 1_000.0, 1_000.0))
+    one, coordinator = allowance(), account(QuotaParameters(1_000.0, 1_000.0, 1_000.0))
     one.admit(ORGANISATION, 200_000.0, 1, 0.0)
     coordinator.take_report(("a", 1), one.report(0.0), 0.0)
     one.forget_idle(70_000.0)
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -38,7 +38,14 @@
     _server_limits,
 )
 from sparline.quarantine import CrashTable, _crash_table
-from sparline.quotas import NO_ROOM, QuotaBounds, QuotaLimiter, Terms, make_terms, quota_key
+from sparline.quotas import (
+    NO_ROOM,
+    QuotaBounds,
+    QuotaLimiter,
+    QuotaParameters,
+    make_terms,
+    quota_key,
+)
 from sparline.routes import Organisation
 from sparline.schema._gossip import MemberNote, MemberPhase
 
@@ -133,7 +140,7 @@
         one.gossip.tell(one.quotas.due())
         return wait_ms
 
-    def quota_terms(self, key: int) -> Terms | None:
+    def quota_terms(self, key: int) -> QuotaParameters | None:
         """Return the terms of an organisation's quota."""
         for one in self.organisations.values():
             if quota_key(one.id) == key and one.quota is not None:
