--- a/sparline/gateway/_quotas.py
+++ b/sparline/gateway/_quotas.py
@@ -9,7 +9,7 @@
 from sparline.fleet import FleetState, GossipPort, QuotaExchange
 from sparline.gateway._log_output import LineBudget
 from sparline.gateway._metrics import GatewayMetrics
-from sparline.quotas import QuotaBounds, QuotaParameters, make_terms, quota_key
+from sparline.quotas import QuotaBounds, QuotaParameters, make_quota_parameters, quota_key
 from sparline.requests import KnownCaller, Prompt, RoutedRequest
 from sparline.routes import Configuration, Organisation
 
@@ -42,7 +42,7 @@
         if known is None:
             return {}
         return {
-            quota_key(one.id): make_terms(one.quota, self._bounds)
+            quota_key(one.id): make_quota_parameters(one.quota, self._bounds)
             for one in known.by_id.values()
             if one.quota is not None
         }
--- a/sparline/quotas/__init__.py
+++ b/sparline/quotas/__init__.py
@@ -9,7 +9,13 @@
 from sparline.quotas._account import QuotaCoordinator, RegionTotal
 from sparline.quotas._allowance import QuotaLimiter, QuotaUsage, RemainingQuota, UsageReport
 from sparline.quotas._level import FleetLevel
-from sparline.quotas._terms import NO_ROOM, QuotaBounds, QuotaParameters, make_terms, quota_key
+from sparline.quotas._terms import (
+    NO_ROOM,
+    QuotaBounds,
+    QuotaParameters,
+    make_quota_parameters,
+    quota_key,
+)
 
 __all__ = [
     "NO_ROOM",
@@ -22,6 +28,6 @@
     "RegionTotal",
     "RemainingQuota",
     "UsageReport",
-    "make_terms",
+    "make_quota_parameters",
     "quota_key",
 ]
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from sparline._ids import OrganisationId
-from sparline.quotas._terms import QuotaBounds, QuotaParameters, make_terms, quota_key
+from sparline.quotas._terms import QuotaBounds, QuotaParameters, make_quota_parameters, quota_key
 from sparline.routes import Organisation
 
 # Admitted units are reported at this interval while much quota is left (ms), and at once when
@@ -130,7 +130,7 @@
         if organisation.quota is None:
             return None
         key = quota_key(organisation.id)
-        terms = make_terms(organisation.quota, self._bounds)
+        terms = make_quota_parameters(organisation.quota, self._bounds)
         state = self._states.get(key)
         if state is None:
             initial_level = terms.first / max(instances, 1)
--- a/sparline/quotas/_terms.py
+++ b/sparline/quotas/_terms.py
@@ -40,7 +40,7 @@
     first: float  # initial level when prior use is unknown
 
 
-def make_terms(quota: Quota, bounds: QuotaBounds) -> QuotaParameters:
+def make_quota_parameters(quota: Quota, bounds: QuotaBounds) -> QuotaParameters:
     """Return the refill parameters of a quota.
 
     The initial level stays within the tolerance, so that a restart doesn't grant a second burst.
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -14,7 +14,7 @@
     QuotaUsage,
     RegionTotal,
     UsageReport,
-    make_terms,
+    make_quota_parameters,
     quota_key,
 )
 from sparline.routes import Organisation, Quota, QuotaUnit
@@ -101,7 +101,7 @@
     one.admit(ORGANISATION, 1.0, 10, 800.0)
     left = one.left(ORGANISATION_ID, 800.0)
     assert not left.is_fleets
-    assert left.units <= make_terms(QUOTA, BOUNDS).most / 10
+    assert left.units <= make_quota_parameters(QUOTA, BOUNDS).most / 10
 
 
 def test_settle_returns_units_not_run_and_charges_reruns():
@@ -124,7 +124,7 @@
 
 
 def account(terms: QuotaParameters | None = None) -> QuotaCoordinator:
-    found = terms or make_terms(QUOTA, BOUNDS)
+    found = terms or make_quota_parameters(QUOTA, BOUNDS)
     return QuotaCoordinator(
         NORTH, lambda key: found if key == KEY else None, lambda: {NORTH: 0.5, SOUTH: 0.5}
     )
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -43,7 +43,7 @@
     QuotaBounds,
     QuotaLimiter,
     QuotaParameters,
-    make_terms,
+    make_quota_parameters,
     quota_key,
 )
 from sparline.routes import Organisation
@@ -144,7 +144,7 @@
         """Return the terms of an organisation's quota."""
         for one in self.organisations.values():
             if quota_key(one.id) == key and one.quota is not None:
-                return make_terms(one.quota, self.quota_bounds)
+                return make_quota_parameters(one.quota, self.quota_bounds)
         return None
 
     def step(self) -> None:
