--- a/sparline/fleet/tests/quota_replay.py
+++ b/sparline/fleet/tests/quota_replay.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 
 from sparline._ids import OrganisationId
-from sparline.quotas import QuotaBounds
+from sparline.quotas import QuotaTolerance
 from sparline.routes import Organisation, Quota, QuotaUnit
 from sparline.tests.fake_fleet import STEP_MS, FakeFleet
 
 REGIONS = ("east", "north", "west")
-BOUNDS = QuotaBounds(window_s=8.0, excess=0.25, slack=190_000.0)
+BOUNDS = QuotaTolerance(window_s=8.0, excess=0.25, slack=190_000.0)
 NAME = "ore"
 # Tokens of a request: nine short ones, then a long one.
 SHORT_TOKENS, LONG_TOKENS, LONG_SHARE = 450.0, 17_000.0, 0.1
--- a/sparline/gateway/_quotas.py
+++ b/sparline/gateway/_quotas.py
@@ -9,7 +9,7 @@
 from sparline.fleet import FleetState, GossipPort, QuotaExchange
 from sparline.gateway._log_output import LineBudget
 from sparline.gateway._metrics import GatewayMetrics
-from sparline.quotas import QuotaBounds, QuotaParameters, make_quota_parameters, quota_key
+from sparline.quotas import QuotaParameters, QuotaTolerance, make_quota_parameters, quota_key
 from sparline.requests import KnownCaller, Prompt, RoutedRequest
 from sparline.routes import Configuration, Organisation
 
@@ -22,7 +22,7 @@
 class QuotaTerms:
     """Find the terms of a quota by its key, in the configuration in force."""
 
-    def __init__(self, fleet: FleetState, bounds: QuotaBounds) -> None:
+    def __init__(self, fleet: FleetState, bounds: QuotaTolerance) -> None:
         """Look into what a fleet holds."""
         self._fleet = fleet
         self._bounds = bounds
--- a/sparline/quotas/__init__.py
+++ b/sparline/quotas/__init__.py
@@ -11,8 +11,8 @@
 from sparline.quotas._level import FleetLevel
 from sparline.quotas._terms import (
     NO_ROOM,
-    QuotaBounds,
     QuotaParameters,
+    QuotaTolerance,
     make_quota_parameters,
     quota_key,
 )
@@ -20,10 +20,10 @@
 __all__ = [
     "NO_ROOM",
     "FleetLevel",
-    "QuotaBounds",
     "QuotaCoordinator",
     "QuotaLimiter",
     "QuotaParameters",
+    "QuotaTolerance",
     "QuotaUsage",
     "RegionTotal",
     "RemainingQuota",
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from sparline._ids import OrganisationId
-from sparline.quotas._terms import QuotaBounds, QuotaParameters, make_quota_parameters, quota_key
+from sparline.quotas._terms import QuotaParameters, QuotaTolerance, make_quota_parameters, quota_key
 from sparline.routes import Organisation
 
 # Admitted units are reported at this interval while much quota is left (ms), and at once when
@@ -108,7 +108,7 @@
 class QuotaLimiter:
     """Admit requests by quota; the owner transports reports and answers."""
 
-    def __init__(self, bounds: QuotaBounds, rng: random.Random) -> None:
+    def __init__(self, bounds: QuotaTolerance, rng: random.Random) -> None:
         """Start without any answer from a coordinator."""
         self._bounds = bounds
         self._rng = rng
--- a/sparline/quotas/_terms.py
+++ b/sparline/quotas/_terms.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaBounds:
+class QuotaTolerance:
     """Define how far operators tolerate use above a quota."""
 
     window_s: float = 1.0  # length of the window in which use is measured
@@ -28,7 +28,7 @@
         return self.excess * (quota.per_s * self.window_s + quota.burst) + self.slack
 
 
-NO_ROOM = QuotaBounds()
+NO_ROOM = QuotaTolerance()
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
     first: float  # initial level when prior use is unknown
 
 
-def make_quota_parameters(quota: Quota, bounds: QuotaBounds) -> QuotaParameters:
+def make_quota_parameters(quota: Quota, bounds: QuotaTolerance) -> QuotaParameters:
     """Return the refill parameters of a quota.
 
     The initial level stays within the tolerance, so that a restart doesn't grant a second burst.
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -7,10 +7,10 @@
 from sparline._ids import OrganisationId, RegionName
 from sparline.quotas import (
     FleetLevel,
-    QuotaBounds,
     QuotaCoordinator,
     QuotaLimiter,
     QuotaParameters,
+    QuotaTolerance,
     QuotaUsage,
     RegionTotal,
     UsageReport,
@@ -24,7 +24,7 @@
 PER_S = 1_000.0
 QUOTA = Quota(QuotaUnit.TOKENS, PER_S, PER_S, 200.0)
 ORGANISATION = Organisation(ORGANISATION_ID, frozenset(), None, frozenset(), QUOTA)
-BOUNDS = QuotaBounds(window_s=8.0, excess=0.25, slack=750.0)
+BOUNDS = QuotaTolerance(window_s=8.0, excess=0.25, slack=750.0)
 NORTH, SOUTH = RegionName("north"), RegionName("south")
 
 
