--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -57,7 +57,7 @@
     WatchTables,
 )
 from sparline.quarantine import CrashTable
-from sparline.quotas import NO_ROOM, QuotaLimiter
+from sparline.quotas import NO_TOLERANCE, QuotaLimiter
 from sparline.requests import Origin, Prompt, PromptStart, RoutedRequest
 from sparline.routes import (
     DEFAULT_LIMITS,
@@ -212,7 +212,7 @@
             self.exchange,
             CrashExchange(CrashTable()),
             QuotaExchange(
-                self.members, QuotaLimiter(NO_ROOM, random.Random(ip)), lambda _key: None
+                self.members, QuotaLimiter(NO_TOLERANCE, random.Random(ip)), lambda _key: None
             ),
             GossipSources(
                 recent_reads=self._cache.recent_reads,
--- a/sparline/fleet/tests/test_gossip.py
+++ b/sparline/fleet/tests/test_gossip.py
@@ -15,7 +15,7 @@
     _gossip,
 )
 from sparline.quarantine import CrashTable
-from sparline.quotas import NO_ROOM, QuotaLimiter
+from sparline.quotas import NO_TOLERANCE, QuotaLimiter
 from sparline.schema._gossip import BackendLoadNote, Gossip, LoadNews, MemberNote, MemberPhase
 from sparline.tests.fake_fleet import FakeFleet
 
@@ -41,7 +41,7 @@
 
 
 def no_quotas(members: Members) -> QuotaExchange:
-    return QuotaExchange(members, QuotaLimiter(NO_ROOM, random.Random(0)), lambda _key: None)
+    return QuotaExchange(members, QuotaLimiter(NO_TOLERANCE, random.Random(0)), lambda _key: None)
 
 
 @pytest.fixture
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -78,7 +78,7 @@
     relayed_refusal_headers,
 )
 from sparline.quarantine import CrashChange, CrashTable, EndParts, ServerEnds
-from sparline.quotas import NO_ROOM, QuotaLimiter, QuotaTolerance
+from sparline.quotas import NO_TOLERANCE, QuotaLimiter, QuotaTolerance
 from sparline.requests import is_withdrawn
 from sparline.schema._gateway import GatewaySettings
 from sparline.schema._gossip import MemberPhase
@@ -145,7 +145,9 @@
             )
         )
         borne = settings.quotas
-        bounds = QuotaTolerance(borne.window_s, borne.excess, borne.slack) if borne else NO_ROOM
+        bounds = (
+            QuotaTolerance(borne.window_s, borne.excess, borne.slack) if borne else NO_TOLERANCE
+        )
         self.quota_exchange = QuotaExchange(
             self.members,
             QuotaLimiter(bounds, random.Random()),
--- a/sparline/quotas/__init__.py
+++ b/sparline/quotas/__init__.py
@@ -10,7 +10,7 @@
 from sparline.quotas._allowance import QuotaLimiter, QuotaUsage, RemainingQuota, UsageReport
 from sparline.quotas._level import FleetLevel
 from sparline.quotas._terms import (
-    NO_ROOM,
+    NO_TOLERANCE,
     QuotaParameters,
     QuotaTolerance,
     make_quota_parameters,
@@ -18,7 +18,7 @@
 )
 
 __all__ = [
-    "NO_ROOM",
+    "NO_TOLERANCE",
     "FleetLevel",
     "QuotaCoordinator",
     "QuotaLimiter",
--- a/sparline/quotas/_terms.py
+++ b/sparline/quotas/_terms.py
@@ -28,7 +28,7 @@
         return self.excess * (quota.per_s * self.window_s + quota.burst) + self.slack
 
 
-NO_ROOM = QuotaTolerance()
+NO_TOLERANCE = QuotaTolerance()
 
 
 @dataclass(frozen=True, slots=True)
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -39,7 +39,7 @@
 )
 from sparline.quarantine import CrashTable, _crash_table
 from sparline.quotas import (
-    NO_ROOM,
+    NO_TOLERANCE,
     QuotaLimiter,
     QuotaParameters,
     QuotaTolerance,
@@ -88,7 +88,7 @@
     now_ms: float = 1_000_000.0
     instances: dict[str, FakeInstance] = field(default_factory=dict)
     servers: dict[str, list[str]] = field(default_factory=dict)  # by region
-    quota_bounds: QuotaTolerance = NO_ROOM  # what is borne over a quota
+    quota_bounds: QuotaTolerance = NO_TOLERANCE  # what is borne over a quota
     organisations: dict[str, Organisation] = field(default_factory=dict)  # by name
     quota_bytes: int = 0  # of datagrams about quotas
     _starts: list[tuple[float, str, RegionName]] = field(default_factory=list)
