--- a/sparline/fleet/_quota_exchange.py
+++ b/sparline/fleet/_quota_exchange.py
@@ -72,9 +72,9 @@
         """Return None where a request may run, else when it may come back (ms)."""
         return self.allowance.admit(organisation, cost, self._instances, now_ms())
 
-    def is_guess(self, organisation: OrganisationId) -> bool:
+    def is_estimate(self, organisation: OrganisationId) -> bool:
         """Tell whether what is left may have changed since the account holder's last word."""
-        return self.allowance.is_guess(organisation, now_ms())
+        return self.allowance.is_estimate(organisation, now_ms())
 
     def settle(self, organisation: OrganisationId, units: float) -> None:
         """Take more off for a request that ran again, or give back what did not run (below zero)."""
--- a/sparline/gateway/_quotas.py
+++ b/sparline/gateway/_quotas.py
@@ -72,7 +72,7 @@
         organisation = caller.organisation
         cost = cost_of(organisation, prompt)
         wait_ms = self._ask(organisation, cost)
-        if wait_ms is not None and self._exchange.is_guess(organisation.id):
+        if wait_ms is not None and self._exchange.is_estimate(organisation.id):
             # What others gave back or what has come meanwhile is known a way later.
             gevent.sleep(WORD_MS / 1000)
             wait_ms = self._ask(organisation, cost)
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -146,7 +146,7 @@
         state.admitted.total += cost
         return None
 
-    def is_guess(self, organisation: OrganisationId, now: float) -> bool:
+    def is_estimate(self, organisation: OrganisationId, now: float) -> bool:
         """Return whether the coordinator's last answer is too old for the level to be exact."""
         state = self._states.get(quota_key(organisation))
         return state is not None and now - state.answered_at_ms > FRESH_ANSWER_MS
