--- a/sparline/fleet/_quota_exchange.py
+++ b/sparline/fleet/_quota_exchange.py
@@ -132,7 +132,7 @@
         return [*self.due(), *self._totals(now)]
 
     def _pressed_totals(self, now: float) -> list[QuotaOutgoing]:
-        return self._totals(now) if self.account.is_word_due(now) else []
+        return self._totals(now) if self.account.are_totals_due(now) else []
 
     def _totals(self, now: float) -> list[QuotaOutgoing]:
         if not len(self.account):
--- a/sparline/quotas/_account.py
+++ b/sparline/quotas/_account.py
@@ -105,7 +105,7 @@
                 self._is_send_urgent = True
         return left
 
-    def is_word_due(self, now: float) -> bool:
+    def are_totals_due(self, now: float) -> bool:
         """Return whether totals should be sent to other regions before the next gossip round."""
         regions = len(self._region_heard_at_ms) + 1
         since_ms = now - self._totals_sent_at_ms
