--- a/sparline/quotas/_account.py
+++ b/sparline/quotas/_account.py
@@ -165,7 +165,7 @@
                 self._ensure_state(one.key, terms, None, now)
         for key, state in self._states.items():
             state.level.at(now, silent)
-            state.level.take_word(region, used.get(key, 0.0), now)
+            state.level.apply_update(region, used.get(key, 0.0), now)
             if used.get(key):
                 state.used_at_ms = now
         self._region_heard_at_ms[region] = now
--- a/sparline/quotas/_level.py
+++ b/sparline/quotas/_level.py
@@ -36,7 +36,7 @@
 class FleetLevel:
     """Estimate the remaining level of one quota across all regions.
 
-    `at` advances the level to the given time; call it before `use` and `take_word`.
+    `at` advances the level to the given time; call it before `use` and `apply_update`.
     """
 
     def __init__(self, terms: QuotaParameters, level: float, now: float) -> None:
@@ -88,7 +88,7 @@
         remote.assumed_units += used
         return used
 
-    def take_word(self, region: RegionName, units: float, now: float) -> None:
+    def apply_update(self, region: RegionName, units: float, now: float) -> None:
         """Replace the assumed use of a region by the units it reports since its last update."""
         remote = self._remote_uses.setdefault(region, _RemoteUse())
         self._level = min(self._level + remote.assumed_units - units, self._terms.most)
