--- a/sparline/gateway/_quotas.py
+++ b/sparline/gateway/_quotas.py
@@ -98,7 +98,7 @@
             organisation=organisation.id,
             per_s=organisation.quota.per_s if organisation.quota else None,
             left=round(left.units),
-            whole_fleet=left.is_fleets,
+            whole_fleet=left.is_fleet_wide,
             word_age_ms=round(left.word_age_ms) if left.word_age_ms is not None else None,
             retry_after_ms=round(wait_ms),
         ).info("over_quota")
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -65,7 +65,7 @@
     """Represent the remaining quota as estimated by an instance."""
 
     units: float  # negative when in debt
-    is_fleets: bool  # whether that is of the whole quota, not of the instance's share
+    is_fleet_wide: bool  # whether that is of the whole quota, not of the instance's share
     word_age_ms: float | None  # age of the coordinator's last answer, None without one
 
 
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -77,7 +77,7 @@
     one.admit(ORGANISATION, 5.0, 1, 0.0)
     one.apply_update(report.sequence, {KEY: 500.0}, 1.0)
     assert one.left(ORGANISATION_ID, 1.0).units == 495.0
-    assert one.left(ORGANISATION_ID, 1.0).is_fleets
+    assert one.left(ORGANISATION_ID, 1.0).is_fleet_wide
     assert one.report(2.0).uses == [QuotaUsage(KEY, 15.0, 5.0, 495.0)]
 
 
@@ -100,7 +100,7 @@
     one.report(20.0)
     one.admit(ORGANISATION, 1.0, 10, 800.0)
     left = one.left(ORGANISATION_ID, 800.0)
-    assert not left.is_fleets
+    assert not left.is_fleet_wide
     assert left.units <= make_quota_parameters(QUOTA, BOUNDS).most / 10
 
 
