--- a/sparline/fleet/_crash_exchange.py
+++ b/sparline/fleet/_crash_exchange.py
@@ -6,7 +6,7 @@
 """
 
 from sparline.fleet._news_allowance import NewsAllowance
-from sparline.quarantine import CrashChange, CrashTable, Learnt, fact_of, note_of
+from sparline.quarantine import CrashChange, CrashTable, FactSource, fact_of, note_of
 from sparline.schema._gossip import CrashNews, CrashNote
 
 # Requests told of in a datagram (count), some 35 bytes each: it stays below 1,400 bytes. With 40 suspects
@@ -50,7 +50,7 @@
 
     def news_of(self, change: CrashChange, instances: int) -> CrashNews | None:
         """Return what every instance is to hear at once; `instances` share what may be told so."""
-        if change.learnt is not Learnt.HERE or not change.concerns_suspect:
+        if change.learnt is not FactSource.HERE or not change.concerns_suspect:
             return None
         if not self._allowance.take(instances):
             # The rounds tell it.
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -22,7 +22,7 @@
 from sparline.forwarding._wire import OwnAnswer, SendTerms
 from sparline.http import CallerConnection, CallerGone, Headers, end_to_end
 from sparline.placement import Chooser, LoadTable, Placement, Refusal
-from sparline.quarantine import CrashTable, Learnt, RequestDigest, Verdict
+from sparline.quarantine import CrashTable, FactSource, RequestDigest, Verdict
 from sparline.requests import Origin, Reason, RoutedRequest
 
 # Sends that were proved not to have run are repeated at most so often (count).
@@ -248,7 +248,7 @@
         if end.ended_server is None:
             return
         self._ended_server = end.ended_server
-        learnt = Learnt.HERE if place.peer is None else Learnt.PEER
+        learnt = FactSource.HERE if place.peer is None else FactSource.PEER
         self._parts.crashes.note_end(self._own_digest(), end.ended_server, learnt)
         if self._verdict() is not Verdict.CLEAR:
             self._sends_left = 0
--- a/sparline/instance/_control.py
+++ b/sparline/instance/_control.py
@@ -23,7 +23,7 @@
     next_hops,
     scope_of,
 )
-from sparline.quarantine import CrashChange, CrashTable, Learnt, fact_of, note_of
+from sparline.quarantine import CrashChange, CrashTable, FactSource, fact_of, note_of
 from sparline.routing import (
     LoadTable,
     Reporter,
@@ -111,7 +111,7 @@
 
     def tell_crash(self, change: CrashChange) -> None:
         """Tell the fleet of a backend server that ended under a request, seen here."""
-        if change.learnt is Learnt.HERE:
+        if change.learnt is FactSource.HERE:
             self._spread_crashes([change], Scope.SELF, None)
 
     def _spread_crashes(
--- a/sparline/quarantine/__init__.py
+++ b/sparline/quarantine/__init__.py
@@ -5,7 +5,7 @@
     CrashChange,
     CrashFact,
     CrashTable,
-    Learnt,
+    FactSource,
     Verdict,
 )
 from sparline.quarantine._digest import RequestDigest, digest_of, logged
@@ -19,7 +19,7 @@
     "CrashTable",
     "EndParts",
     "EndSign",
-    "Learnt",
+    "FactSource",
     "Reach",
     "RequestDigest",
     "ServerEnds",
--- a/sparline/quarantine/_crash_table.py
+++ b/sparline/quarantine/_crash_table.py
@@ -51,7 +51,7 @@
     QUARANTINED = "quarantined"  # not sent to any backend server
 
 
-class Learnt(Enum):
+class FactSource(Enum):
     """Name the source of a crash fact."""
 
     HERE = "here"  # this instance's own connections
@@ -75,7 +75,7 @@
     fact: CrashFact  # state after the change
     ends: int  # crashes not cleared after the change
     ends_before: int  # crashes not cleared before the change
-    learnt: Learnt  # source of the change
+    learnt: FactSource  # source of the change
 
     @property
     def concerns_suspect(self) -> bool:
@@ -154,7 +154,10 @@
         return sum(self._quarantine_left_ms(one) > 0 for one in self._records.values())
 
     def note_end(
-        self, digest: RequestDigest, server_id: BackendServerId, learnt: Learnt = Learnt.HERE
+        self,
+        digest: RequestDigest,
+        server_id: BackendServerId,
+        learnt: FactSource = FactSource.HERE,
     ) -> None:
         """Record that a server crashed while it may have been running a request."""
         if self._was_answered(digest):
@@ -175,7 +178,7 @@
             # It was never restricted, so peers need no update.
             del self._records[digest]
             return
-        self._merge(CrashFact(digest, frozenset(), frozenset(record.ended), 0.0), Learnt.HERE)
+        self._merge(CrashFact(digest, frozenset(), frozenset(record.ended), 0.0), FactSource.HERE)
 
     def _was_answered(self, digest: RequestDigest) -> bool:
         answered_at_ms = self._answered_at_ms.get(digest)
@@ -183,14 +186,14 @@
 
     def take(self, facts: Iterable[CrashFact]) -> list[CrashChange]:
         """Merge facts from a peer; return the resulting changes."""
-        changes = [self._merge(self._clear_if_answered(fact), Learnt.PEER) for fact in facts]
+        changes = [self._merge(self._clear_if_answered(fact), FactSource.PEER) for fact in facts]
         return [one for one in changes if one is not None]
 
     def _clear_if_answered(self, fact: CrashFact) -> CrashFact:
         """Return a peer's fact, with its crashes cleared if the request was recently answered."""
         return replace(fact, cleared=fact.ended) if self._was_answered(fact.digest) else fact
 
-    def _merge(self, fact: CrashFact, learnt: Learnt) -> CrashChange | None:
+    def _merge(self, fact: CrashFact, learnt: FactSource) -> CrashChange | None:
         now = now_ms()
         record = self._records.get(fact.digest)
         if record is None:
--- a/sparline/quarantine/tests/test_crash_table.py
+++ b/sparline/quarantine/tests/test_crash_table.py
@@ -5,7 +5,7 @@
 from sparline.quarantine import (
     CrashFact,
     CrashTable,
-    Learnt,
+    FactSource,
     RequestDigest,
     Verdict,
     _crash_table,
@@ -183,8 +183,8 @@
     table.take([fact("a", "b", "c")])
     table.note_whole(DIGEST)
     assert changes == [
-        (0, 1, Learnt.HERE),
-        (1, 2, Learnt.HERE),
-        (2, 3, Learnt.PEER),
-        (3, 0, Learnt.HERE),
+        (0, 1, FactSource.HERE),
+        (1, 2, FactSource.HERE),
+        (2, 3, FactSource.PEER),
+        (3, 0, FactSource.HERE),
     ]
