--- a/sparline/backends/_connection.py
+++ b/sparline/backends/_connection.py
@@ -13,7 +13,7 @@
 from result import Err, Ok, Result
 
 from sparline._clock import now_ms
-from sparline.quarantine import Reach
+from sparline.quarantine import ProbeResult
 
 READ_BYTES = 65_536
 READ_SLICE_S = 0.1
@@ -157,16 +157,16 @@
             self._socket.close()
 
 
-def probe(address: tuple[str, int], timeout_s: float) -> Reach:
+def probe(address: tuple[str, int], timeout_s: float) -> ProbeResult:
     """Tell whether something listens at an address."""
     try:
         socket.create_connection(address, timeout_s).close()
     except (ConnectionRefusedError, ConnectionResetError):
-        return Reach.REFUSED
+        return ProbeResult.REFUSED
     except OSError:
         # No word in time, or no way there: that says nothing of whoever listens.
-        return Reach.UNKNOWN
-    return Reach.OPEN
+        return ProbeResult.UNKNOWN
+    return ProbeResult.OPEN
 
 
 def call_json(
--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -8,7 +8,7 @@
 from sparline.backends import AttemptContext, BackendAddress, attempt
 from sparline.dispatch._retry_budget import RetryBudget
 from sparline.dispatch._waiting_room import WaitingRoom
-from sparline.quarantine import CrashTable, Reach, ServerEnds, Verdict
+from sparline.quarantine import CrashTable, ProbeResult, ServerEnds, Verdict
 from sparline.requests import (
     Answer,
     AnswerChunk,
@@ -231,7 +231,7 @@
             return
         server_id = BackendServerId(f"{backend.member.id}@{backend.incarnation}")
         address = (backend.member.ip, backend.member.port)
-        if self._parts.ends.reach(server_id, address) is Reach.REFUSED:
+        if self._parts.ends.reach(server_id, address) is ProbeResult.REFUSED:
             self._parts.crashes.note_end(digest, server_id)
 
     def _send_away(
--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -17,7 +17,7 @@
     end_to_end,
 )
 from sparline.placement import Placement, Reservation, StreamWatch
-from sparline.quarantine import Reach
+from sparline.quarantine import ProbeResult
 from sparline.requests import Reason, RoutedRequest
 from sparline.routes import RequestKind
 
@@ -117,7 +117,7 @@
         if self._tools.has_ended(self._server_id):
             return self._server_id
         address = self._placement.server.address
-        if self._tools.ends.reach(self._server_id, address) is Reach.REFUSED:
+        if self._tools.ends.reach(self._server_id, address) is ProbeResult.REFUSED:
             return self._server_id
         return self._tools.ends.witnessed_end(self._server_id, self._witnesses)
 
--- a/sparline/http/_pool.py
+++ b/sparline/http/_pool.py
@@ -4,7 +4,7 @@
 from itertools import islice
 
 from sparline.http._backend_connection import Address, BackendConnection
-from sparline.quarantine import Reach
+from sparline.quarantine import ProbeResult
 
 # Kept connections beyond this many to one address are closed (count; a 6-slot service or a
 # 64-slot engine shared by a few instances never needs more at rest).
@@ -41,18 +41,18 @@
         self._on_open(address)
         return BackendConnection(address, timeout_s)
 
-    def probe(self, address: Address, timeout_s: float) -> Reach:
+    def probe(self, address: Address, timeout_s: float) -> ProbeResult:
         """Tell whether something listens at an address; the connection is kept for use."""
         try:
             connection = self.open(address, timeout_s)
         except (ConnectionRefusedError, ConnectionResetError):
-            return Reach.REFUSED
+            return ProbeResult.REFUSED
         except OSError:
             # No word in time, or no way there: that says nothing of whoever listens.
-            return Reach.UNKNOWN
+            return ProbeResult.UNKNOWN
         connection.rest()
         self.give_back(connection)
-        return Reach.OPEN
+        return ProbeResult.OPEN
 
     def give_back(self, connection: BackendConnection) -> None:
         """Keep a connection, or close it where it may not be used again."""
--- a/sparline/quarantine/__init__.py
+++ b/sparline/quarantine/__init__.py
@@ -10,7 +10,7 @@
 )
 from sparline.quarantine._digest import RequestDigest, digest_of, logged
 from sparline.quarantine._notes import fact_of, note_of
-from sparline.quarantine._server_ends import EndParts, EndSign, Reach, ServerEnds
+from sparline.quarantine._server_ends import EndParts, EndSign, ProbeResult, ServerEnds
 
 __all__ = [
     "MOST_ENDS",
@@ -20,7 +20,7 @@
     "EndParts",
     "EndSign",
     "FactSource",
-    "Reach",
+    "ProbeResult",
     "RequestDigest",
     "ServerEnds",
     "Verdict",
--- a/sparline/quarantine/_server_ends.py
+++ b/sparline/quarantine/_server_ends.py
@@ -38,7 +38,7 @@
 Address = tuple[str, int]
 
 
-class Reach(Enum):
+class ProbeResult(Enum):
     """Classify the result of a connection attempt."""
 
     OPEN = "open"  # a process is listening
@@ -67,7 +67,7 @@
 class EndParts:
     """Hold the dependencies of the termination detection."""
 
-    probe: Callable[[Address, float], Reach]  # tries to connect, with a timeout in seconds
+    probe: Callable[[Address, float], ProbeResult]  # tries to connect, with a timeout in seconds
     heard_at_ms: Callable[[BackendServerId], float]  # time when a server last sent anything
     note_unreachable: Callable[[BackendServerId], None]  # called when a probe was refused
     on_end: Callable[[BackendServerId, EndSign], None]  # called for metrics and logging
@@ -88,20 +88,20 @@
         """Start without any aborted answer."""
         self._dependencies = parts
         self._probes: dict[BackendServerId, AsyncResult] = {}
-        self._probe_results: OrderedDict[BackendServerId, tuple[Reach, float]] = OrderedDict()
+        self._probe_results: OrderedDict[BackendServerId, tuple[ProbeResult, float]] = OrderedDict()
         self._unexplained: OrderedDict[AbortedAnswer, None] = OrderedDict()
         self._watched: OrderedDict[RequestDigest, float] = OrderedDict()  # time of the newest abort
 
-    def reach(self, server_id: BackendServerId, address: Address) -> Reach:
+    def reach(self, server_id: BackendServerId, address: Address) -> ProbeResult:
         """Return whether a server that has just aborted an answer still accepts connections."""
-        last_reach, probed_at_ms = self._probe_results.get(server_id, (Reach.UNKNOWN, 0.0))
-        if last_reach is Reach.REFUSED and now_ms() - probed_at_ms < REFUSAL_TTL_MS:
+        last_reach, probed_at_ms = self._probe_results.get(server_id, (ProbeResult.UNKNOWN, 0.0))
+        if last_reach is ProbeResult.REFUSED and now_ms() - probed_at_ms < REFUSAL_TTL_MS:
             return last_reach
         running = self._probes.get(server_id)
         if running is not None:
             return running.get()
         result = self._probes[server_id] = AsyncResult()
-        found = Reach.UNKNOWN
+        found = ProbeResult.UNKNOWN
         try:
             found = self._dependencies.probe(address, PROBE_TIMEOUT_MS / 1000)
         finally:
@@ -111,11 +111,11 @@
         self._record_probe(server_id, found)
         return found
 
-    def _record_probe(self, server_id: BackendServerId, found: Reach) -> None:
+    def _record_probe(self, server_id: BackendServerId, found: ProbeResult) -> None:
         self._probe_results[server_id] = (found, now_ms())
         if len(self._probe_results) > MAX_UNEXPLAINED:
             self._probe_results.popitem(last=False)
-        if found is Reach.REFUSED:
+        if found is ProbeResult.REFUSED:
             self._dependencies.note_unreachable(server_id)
             self._dependencies.on_end(server_id, EndSign.REFUSED)
 
--- a/sparline/quarantine/tests/test_server_ends.py
+++ b/sparline/quarantine/tests/test_server_ends.py
@@ -4,7 +4,14 @@
 import pytest
 
 from sparline._ids import BackendServerId
-from sparline.quarantine import EndParts, EndSign, Reach, RequestDigest, ServerEnds, _server_ends
+from sparline.quarantine import (
+    EndParts,
+    EndSign,
+    ProbeResult,
+    RequestDigest,
+    ServerEnds,
+    _server_ends,
+)
 
 SERVER = BackendServerId("e1")
 ADDRESS = ("127.0.0.1", 1)
@@ -15,14 +22,14 @@
 class FakeEnvironment:
     """Fake the network, the server's last activity and the log."""
 
-    def __init__(self, reach: Reach) -> None:
+    def __init__(self, reach: ProbeResult) -> None:
         self.reach = reach
         self.probes = 0
         self.heard_at_ms = 0.0
         self.unreachable: list[str] = []
         self.ends: list[tuple[str, EndSign]] = []
 
-    def probe(self, _address: object, _timeout_s: float) -> Reach:
+    def probe(self, _address: object, _timeout_s: float) -> ProbeResult:
         self.probes += 1
         gevent.sleep(0.01)
         return self.reach
@@ -44,9 +51,9 @@
 
 
 REACHES = [
-    ("connection refused", Reach.REFUSED, ["e1"], [("e1", EndSign.REFUSED)]),
-    ("connection accepted", Reach.OPEN, [], []),
-    ("no response", Reach.UNKNOWN, [], []),
+    ("connection refused", ProbeResult.REFUSED, ["e1"], [("e1", EndSign.REFUSED)]),
+    ("connection accepted", ProbeResult.OPEN, [], []),
+    ("no response", ProbeResult.UNKNOWN, [], []),
 ]
 
 
@@ -64,33 +71,33 @@
 
 
 def test_concurrent_callers_share_one_probe(clock):
-    environment = FakeEnvironment(Reach.REFUSED)
+    environment = FakeEnvironment(ProbeResult.REFUSED)
     server_ends = ServerEnds(environment.parts())
     callers = [gevent.spawn(server_ends.reach, SERVER, ADDRESS) for _ in range(30)]
     gevent.joinall(callers, timeout=20)
-    assert [one.value for one in callers] == [Reach.REFUSED] * 30
-    assert server_ends.reach(SERVER, ADDRESS) is Reach.REFUSED
+    assert [one.value for one in callers] == [ProbeResult.REFUSED] * 30
+    assert server_ends.reach(SERVER, ADDRESS) is ProbeResult.REFUSED
     assert environment.probes == 1
     assert len(environment.ends) == 1
 
 
 def test_accepted_probe_is_not_reused(clock):
-    environment = FakeEnvironment(Reach.OPEN)
+    environment = FakeEnvironment(ProbeResult.OPEN)
     server_ends = ServerEnds(environment.parts())
     server_ends.reach(SERVER, ADDRESS)
-    environment.reach = Reach.REFUSED
-    assert server_ends.reach(SERVER, ADDRESS) is Reach.REFUSED
+    environment.reach = ProbeResult.REFUSED
+    assert server_ends.reach(SERVER, ADDRESS) is ProbeResult.REFUSED
 
 
 def test_waiters_are_released_when_the_probing_greenlet_is_killed(clock):
-    environment = FakeEnvironment(Reach.REFUSED)
+    environment = FakeEnvironment(ProbeResult.REFUSED)
     server_ends = ServerEnds(environment.parts())
     prober = gevent.spawn(server_ends.reach, SERVER, ADDRESS)
     gevent.sleep(0)
     waiting = gevent.spawn(server_ends.reach, SERVER, ADDRESS)
     gevent.sleep(0)
     prober.kill()
-    assert waiting.get(timeout=20) is Reach.UNKNOWN
+    assert waiting.get(timeout=20) is ProbeResult.UNKNOWN
 
 
 REMOVALS = [
@@ -107,7 +114,7 @@
     ids=[row[0] for row in REMOVALS],
 )
 def test_store_removal_explains_aborted_answers(clock, after_ms, heard_at_ms, ended):
-    environment = FakeEnvironment(Reach.UNKNOWN)
+    environment = FakeEnvironment(ProbeResult.UNKNOWN)
     server_ends = ServerEnds(environment.parts())
     server_ends.wait_for_word(ONE, SERVER)
     clock[0] += after_ms
@@ -119,7 +126,7 @@
 
 
 def test_unexplained_aborts_are_bounded(clock):
-    server_ends = ServerEnds(FakeEnvironment(Reach.UNKNOWN).parts())
+    server_ends = ServerEnds(FakeEnvironment(ProbeResult.UNKNOWN).parts())
     for number in range(2 * _server_ends.MAX_UNEXPLAINED):
         clock[0] += 0.001
         server_ends.wait_for_word(ONE, BackendServerId(f"s{number}"))
@@ -149,7 +156,7 @@
     ("lost", "has_ended"), [row[1:] for row in WITNESSES], ids=[row[0] for row in WITNESSES]
 )
 def test_server_that_loses_every_connection_has_ended(clock, lost, has_ended):
-    environment = FakeEnvironment(Reach.OPEN)
+    environment = FakeEnvironment(ProbeResult.OPEN)
     server_ends = ServerEnds(environment.parts())
     found = server_ends.witnessed_end(SERVER, [Connection(one) for one in lost])
     assert (found is not None) is has_ended
@@ -157,14 +164,14 @@
 
 
 def test_two_ends_under_one_server_id_are_distinct(clock):
-    server_ends = ServerEnds(FakeEnvironment(Reach.OPEN).parts())
+    server_ends = ServerEnds(FakeEnvironment(ProbeResult.OPEN).parts())
     first = server_ends.witnessed_end(SERVER, [Connection(True)])
     clock[0] += 200
     assert server_ends.witnessed_end(SERVER, [Connection(True)]) != first
 
 
 def test_request_is_watched_after_an_unexplained_abort(clock):
-    server_ends = ServerEnds(FakeEnvironment(Reach.OPEN).parts())
+    server_ends = ServerEnds(FakeEnvironment(ProbeResult.OPEN).parts())
     assert not server_ends.has_doubts
     server_ends.wait_for_word(ONE, SERVER)
     assert server_ends.has_doubts
@@ -176,7 +183,7 @@
 
 
 def test_watched_requests_are_bounded(clock):
-    server_ends = ServerEnds(FakeEnvironment(Reach.OPEN).parts())
+    server_ends = ServerEnds(FakeEnvironment(ProbeResult.OPEN).parts())
     for number in range(2 * _server_ends.MAX_WATCHED):
         server_ends.wait_for_word(RequestDigest(b"%d" % number), SERVER)
     assert not server_ends.is_doubted(RequestDigest(b"0"))
