--- a/sparline/gateway/_request_log.py
+++ b/sparline/gateway/_request_log.py
@@ -8,7 +8,7 @@
 from sparline.gateway._log_output import LineBudget
 from sparline.gateway._metrics import GatewayMetrics
 from sparline.placement import ColdUse, Placement, Refusal, ServerLimit
-from sparline.quarantine import MOST_ENDS, CrashChange, EndSign, RequestDigest, logged
+from sparline.quarantine import MOST_ENDS, CrashChange, EndEvidence, RequestDigest, logged
 from sparline.requests import Prompt, Reason, RoutedRequest
 
 # Lines a second for answered requests and for all others, an instance; above them lines are
@@ -58,7 +58,7 @@
                 **_place_fields(place),
             ).info("answer_broken")
 
-    def note_server_end(self, server_id: BackendServerId, sign: EndSign) -> None:
+    def note_server_end(self, server_id: BackendServerId, sign: EndEvidence) -> None:
         """Note that a server ended with requests of this instance."""
         self._metrics.server_ends.labels(sign.value).inc()
         if self._crashes.take():
--- a/sparline/quarantine/__init__.py
+++ b/sparline/quarantine/__init__.py
@@ -10,15 +10,15 @@
 )
 from sparline.quarantine._digest import RequestDigest, digest_of, logged
 from sparline.quarantine._notes import fact_of, note_of
-from sparline.quarantine._server_ends import EndParts, EndSign, ProbeResult, ServerEnds
+from sparline.quarantine._server_ends import EndEvidence, EndParts, ProbeResult, ServerEnds
 
 __all__ = [
     "MOST_ENDS",
     "CrashChange",
     "CrashFact",
     "CrashTable",
+    "EndEvidence",
     "EndParts",
-    "EndSign",
     "FactSource",
     "ProbeResult",
     "RequestDigest",
--- a/sparline/quarantine/_server_ends.py
+++ b/sparline/quarantine/_server_ends.py
@@ -46,7 +46,7 @@
     UNKNOWN = "unknown"  # no response
 
 
-class EndSign(Enum):
+class EndEvidence(Enum):
     """Name the evidence that a server has terminated."""
 
     REFUSED = "refused"  # no process is listening at its address
@@ -70,7 +70,7 @@
     probe: Callable[[Address, float], ProbeResult]  # tries to connect, with a timeout in seconds
     heard_at_ms: Callable[[BackendServerId], float]  # time when a server last sent anything
     note_unreachable: Callable[[BackendServerId], None]  # called when a probe was refused
-    on_end: Callable[[BackendServerId, EndSign], None]  # called for metrics and logging
+    on_end: Callable[[BackendServerId, EndEvidence], None]  # called for metrics and logging
 
 
 class OtherConnection(Protocol):
@@ -117,7 +117,7 @@
             self._probe_results.popitem(last=False)
         if found is ProbeResult.REFUSED:
             self._dependencies.note_unreachable(server_id)
-            self._dependencies.on_end(server_id, EndSign.REFUSED)
+            self._dependencies.on_end(server_id, EndEvidence.REFUSED)
 
     def witnessed_end(
         self, server_id: BackendServerId, witnesses: Sequence[OtherConnection]
@@ -129,7 +129,7 @@
         """
         if not witnesses or not all(one.is_lost() for one in witnesses):
             return None
-        self._dependencies.on_end(server_id, EndSign.WITNESSED)
+        self._dependencies.on_end(server_id, EndEvidence.WITNESSED)
         return BackendServerId(f"{server_id}/until-{now_ms():.0f}")
 
     @property
@@ -167,5 +167,5 @@
             if one.aborted_at_ms >= since and heard_at_ms < one.aborted_at_ms
         ]
         if ended:
-            self._dependencies.on_end(server_id, EndSign.GONE)
+            self._dependencies.on_end(server_id, EndEvidence.GONE)
         return ended
--- a/sparline/quarantine/tests/test_server_ends.py
+++ b/sparline/quarantine/tests/test_server_ends.py
@@ -5,8 +5,8 @@
 
 from sparline._ids import BackendServerId
 from sparline.quarantine import (
+    EndEvidence,
     EndParts,
-    EndSign,
     ProbeResult,
     RequestDigest,
     ServerEnds,
@@ -27,7 +27,7 @@
         self.probes = 0
         self.heard_at_ms = 0.0
         self.unreachable: list[str] = []
-        self.ends: list[tuple[str, EndSign]] = []
+        self.ends: list[tuple[str, EndEvidence]] = []
 
     def probe(self, _address: object, _timeout_s: float) -> ProbeResult:
         self.probes += 1
@@ -51,7 +51,7 @@
 
 
 REACHES = [
-    ("connection refused", ProbeResult.REFUSED, ["e1"], [("e1", EndSign.REFUSED)]),
+    ("connection refused", ProbeResult.REFUSED, ["e1"], [("e1", EndEvidence.REFUSED)]),
     ("connection accepted", ProbeResult.OPEN, [], []),
     ("no response", ProbeResult.UNKNOWN, [], []),
 ]
@@ -122,7 +122,7 @@
     assert server_ends.note_gone(BackendServerId("another")) == []
     assert server_ends.note_gone(SERVER) == ended
     assert server_ends.note_gone(SERVER) == []
-    assert environment.ends == ([("e1", EndSign.GONE)] if ended else [])
+    assert environment.ends == ([("e1", EndEvidence.GONE)] if ended else [])
 
 
 def test_unexplained_aborts_are_bounded(clock):
@@ -160,7 +160,7 @@
     server_ends = ServerEnds(environment.parts())
     found = server_ends.witnessed_end(SERVER, [Connection(one) for one in lost])
     assert (found is not None) is has_ended
-    assert environment.ends == ([(SERVER, EndSign.WITNESSED)] if has_ended else [])
+    assert environment.ends == ([(SERVER, EndEvidence.WITNESSED)] if has_ended else [])
 
 
 def test_two_ends_under_one_server_id_are_distinct(clock):
