--- a/sparline/instance/_instance.py
+++ b/sparline/instance/_instance.py
@@ -34,8 +34,8 @@
     MOST_ENDS,
     CrashChange,
     CrashTable,
-    EndParts,
     RequestDigest,
+    ServerEndCallbacks,
     ServerEnds,
     logged,
 )
@@ -95,7 +95,7 @@
     def _make_quarantine(self) -> None:
         self.crashes = CrashTable(self._note_crash, self._note_pushed_out)
         self.ends = ServerEnds(
-            EndParts(
+            ServerEndCallbacks(
                 probe=probe,
                 heard_at_ms=lambda _server_id: 0.0,
                 note_unreachable=lambda _server_id: None,
--- a/sparline/quarantine/__init__.py
+++ b/sparline/quarantine/__init__.py
@@ -10,7 +10,12 @@
 )
 from sparline.quarantine._digest import RequestDigest, digest_of, logged
 from sparline.quarantine._notes import fact_of, note_of
-from sparline.quarantine._server_ends import EndEvidence, EndParts, ProbeResult, ServerEnds
+from sparline.quarantine._server_ends import (
+    EndEvidence,
+    ProbeResult,
+    ServerEndCallbacks,
+    ServerEnds,
+)
 
 __all__ = [
     "MOST_ENDS",
@@ -18,10 +23,10 @@
     "CrashFact",
     "CrashTable",
     "EndEvidence",
-    "EndParts",
     "FactSource",
     "ProbeResult",
     "RequestDigest",
+    "ServerEndCallbacks",
     "ServerEnds",
     "Verdict",
     "digest_of",
--- a/sparline/quarantine/_server_ends.py
+++ b/sparline/quarantine/_server_ends.py
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndParts:
+class ServerEndCallbacks:
     """Hold the dependencies of the termination detection."""
 
     probe: Callable[[Address, float], ProbeResult]  # tries to connect, with a timeout in seconds
@@ -84,7 +84,7 @@
 class ServerEnds:
     """Detect terminated servers: at once by their connections, later by the store."""
 
-    def __init__(self, parts: EndParts) -> None:
+    def __init__(self, parts: ServerEndCallbacks) -> None:
         """Start without any aborted answer."""
         self._dependencies = parts
         self._probes: dict[BackendServerId, AsyncResult] = {}
--- a/sparline/quarantine/tests/test_server_ends.py
+++ b/sparline/quarantine/tests/test_server_ends.py
@@ -6,9 +6,9 @@
 from sparline._ids import BackendServerId
 from sparline.quarantine import (
     EndEvidence,
-    EndParts,
     ProbeResult,
     RequestDigest,
+    ServerEndCallbacks,
     ServerEnds,
     _server_ends,
 )
@@ -34,8 +34,8 @@
         gevent.sleep(0.01)
         return self.reach
 
-    def parts(self) -> EndParts:
-        return EndParts(
+    def parts(self) -> ServerEndCallbacks:
+        return ServerEndCallbacks(
             self.probe,
             lambda _server_id: self.heard_at_ms,
             self.unreachable.append,
