--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -8,7 +8,7 @@
 from sparline.backends import AttemptContext, BackendAddress, attempt
 from sparline.dispatch._retry_budget import RetryBudget
 from sparline.dispatch._waiting_room import WaitingRoom
-from sparline.quarantine import CrashTable, ProbeResult, ServerEnds, Verdict
+from sparline.quarantine import CrashTable, ProbeResult, ServerEndDetector, Verdict
 from sparline.requests import (
     Answer,
     AnswerChunk,
@@ -83,7 +83,7 @@
     relay: RelaySender  # sends to other zones
     connect_timeout_ms: float  # longest wait for a connection
     crashes: CrashTable  # backend servers that ended under requests
-    ends: ServerEnds  # whether those that broke an answer off have ended
+    ends: ServerEndDetector  # whether those that broke an answer off have ended
 
 
 class Dispatcher:
--- a/sparline/forwarding/_attempt_types.py
+++ b/sparline/forwarding/_attempt_types.py
@@ -9,7 +9,7 @@
 from sparline.forwarding._wire import Wire
 from sparline.http import ConnectionPool, HttpAnswer
 from sparline.placement import HealthTable, PaceTable, ServerLimitTable, WatchTables
-from sparline.quarantine import ServerEnds
+from sparline.quarantine import ServerEndDetector
 from sparline.requests import Reason, RoutedRequest
 
 
@@ -80,5 +80,5 @@
     may_move: Callable[[RoutedRequest, Progress], bool]  # whether another try is possible
     note_peer: Callable[[str, bool], None]  # whether a peer could be reached
     note_round_trip: Callable[[RegionName, float], None]  # time that a connection took to open
-    ends: ServerEnds  # whether servers that broke an answer off have ended
+    ends: ServerEndDetector  # whether servers that broke an answer off have ended
     has_ended: Callable[[BackendServerId], bool]  # whether that start of a server is over
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -77,7 +77,7 @@
     refusal_headers,
     relayed_refusal_headers,
 )
-from sparline.quarantine import CrashChange, CrashTable, ServerEndCallbacks, ServerEnds
+from sparline.quarantine import CrashChange, CrashTable, ServerEndCallbacks, ServerEndDetector
 from sparline.quotas import NO_TOLERANCE, QuotaLimiter, QuotaTolerance
 from sparline.requests import is_withdrawn
 from sparline.schema._gateway import GatewaySettings
@@ -136,7 +136,7 @@
         self.peers = PeerTable(self.members, needed_until_ms)
         self._pool = ConnectionPool(lambda _address: self.metrics.connections.inc())
         self._make_placement(region)
-        self.ends = ServerEnds(
+        self.ends = ServerEndDetector(
             ServerEndCallbacks(
                 self._pool.probe,
                 self.health.heard_at_ms,
--- a/sparline/instance/_instance.py
+++ b/sparline/instance/_instance.py
@@ -36,7 +36,7 @@
     CrashTable,
     RequestDigest,
     ServerEndCallbacks,
-    ServerEnds,
+    ServerEndDetector,
     logged,
 )
 from sparline.relay import RelayReceiver, RelaySender
@@ -94,7 +94,7 @@
 
     def _make_quarantine(self) -> None:
         self.crashes = CrashTable(self._note_crash, self._note_pushed_out)
-        self.ends = ServerEnds(
+        self.ends = ServerEndDetector(
             ServerEndCallbacks(
                 probe=probe,
                 heard_at_ms=lambda _server_id: 0.0,
--- a/sparline/quarantine/__init__.py
+++ b/sparline/quarantine/__init__.py
@@ -14,7 +14,7 @@
     EndEvidence,
     ProbeResult,
     ServerEndCallbacks,
-    ServerEnds,
+    ServerEndDetector,
 )
 
 __all__ = [
@@ -27,7 +27,7 @@
     "ProbeResult",
     "RequestDigest",
     "ServerEndCallbacks",
-    "ServerEnds",
+    "ServerEndDetector",
     "Verdict",
     "digest_of",
     "fact_of",
--- a/sparline/quarantine/_server_ends.py
+++ b/sparline/quarantine/_server_ends.py
@@ -81,7 +81,7 @@
         ...
 
 
-class ServerEnds:
+class ServerEndDetector:
     """Detect terminated servers: at once by their connections, later by the store."""
 
     def __init__(self, parts: ServerEndCallbacks) -> None:
