--- a/sparline/gateway/_request_log.py
+++ b/sparline/gateway/_request_log.py
@@ -8,7 +8,7 @@
 from sparline.gateway._log_output import LineBudget
 from sparline.gateway._metrics import GatewayMetrics
 from sparline.placement import ColdUse, Placement, Refusal, ServerLimit
-from sparline.quarantine import MOST_ENDS, CrashChange, EndEvidence, RequestDigest, logged
+from sparline.quarantine import MOST_ENDS, CrashChange, EndEvidence, RequestDigest, short_hex
 from sparline.requests import Prompt, Reason, RoutedRequest
 
 # Lines a second for answered requests and for all others, an instance; above them lines are
@@ -50,7 +50,7 @@
         if self._broken.take():
             log.bind(
                 request_id=request.request_id,
-                content=logged(request.digest()),
+                content=short_hex(request.digest()),
                 reason=end.end.reason.value,
                 sent_ago_ms=round(end.sent_ago_ms),
                 has_begun=end.has_begun,
@@ -71,7 +71,7 @@
         if not change.concerns_suspect or not self._crashes.take():
             return
         log.bind(
-            content=logged(change.fact.digest),
+            content=short_hex(change.fact.digest),
             ends=change.ends,
             ends_before=change.ends_before,
             learnt=change.learnt.value,
@@ -83,7 +83,7 @@
         """Note that a suspect was forgotten for want of room."""
         self._metrics.pushed_out.inc()
         if self._crashes.take():
-            log.bind(content=logged(digest), ends=ends).warning("suspect_pushed_out")
+            log.bind(content=short_hex(digest), ends=ends).warning("suspect_pushed_out")
 
     def note_cold_use(self, use: ColdUse) -> None:
         """Note that a request goes to a cold server, whose rate is shared out."""
@@ -146,7 +146,7 @@
             first_ms=None if first_ms is None else round(first_ms),
             total_ms=round(total_ms),
             pause_ms=round(end.progress.longest_pause_ms),
-            **({"content": logged(request.digest())} if _names_content(end) else {}),
+            **({"content": short_hex(request.digest())} if _names_content(end) else {}),
             **(_prompt_fields(request.prompt) if request.prompt else {}),
             **(_place_fields(end.placement) if end.placement else {}),
             **(_refusal_fields(end.refusal) if end.refusal else {}),
--- a/sparline/instance/_instance.py
+++ b/sparline/instance/_instance.py
@@ -37,7 +37,7 @@
     RequestDigest,
     ServerEndCallbacks,
     ServerEndDetector,
-    logged,
+    short_hex,
 )
 from sparline.relay import RelayReceiver, RelaySender
 from sparline.requests import RequestLedger
@@ -109,13 +109,13 @@
             log.warning(
                 "quarantine: {} backend servers ended under request {}, told by {}",
                 change.ends,
-                logged(change.fact.digest),
+                short_hex(change.fact.digest),
                 change.learnt.value,
             )
         self.control.tell_crash(change)
 
     def _note_pushed_out(self, digest: RequestDigest, ends: int) -> None:
-        log.warning("quarantine: no room for request {} with {} ends", logged(digest), ends)
+        log.warning("quarantine: no room for request {} with {} ends", short_hex(digest), ends)
 
     def _make_routing(self, policy: Policy) -> None:
         settings = self.settings
--- a/sparline/quarantine/__init__.py
+++ b/sparline/quarantine/__init__.py
@@ -8,7 +8,7 @@
     FactSource,
     Verdict,
 )
-from sparline.quarantine._digest import RequestDigest, digest_of, logged
+from sparline.quarantine._digest import RequestDigest, digest_of, short_hex
 from sparline.quarantine._notes import fact_of, note_of
 from sparline.quarantine._server_ends import (
     EndEvidence,
@@ -31,6 +31,6 @@
     "Verdict",
     "digest_of",
     "fact_of",
-    "logged",
     "note_of",
+    "short_hex",
 ]
--- a/sparline/quarantine/_digest.py
+++ b/sparline/quarantine/_digest.py
@@ -23,6 +23,6 @@
     return RequestDigest(hasher.digest())
 
 
-def logged(digest: RequestDigest) -> str:
+def short_hex(digest: RequestDigest) -> str:
     """Return the shortened digest for log lines."""
     return digest.hex()[:LOG_DIGITS]
