--- a/sparline/fleet/_crash_exchange.py
+++ b/sparline/fleet/_crash_exchange.py
@@ -6,7 +6,7 @@
 """
 
 from sparline.fleet._news_allowance import NewsAllowance
-from sparline.quarantine import CrashChange, CrashTable, FactSource, fact_of, note_of
+from sparline.quarantine import CrashChange, CrashTable, FactSource, fact_of, to_crash_note
 from sparline.schema._gossip import CrashNews, CrashNote
 
 # Requests told of in a datagram (count), some 35 bytes each: it stays below 1,400 bytes. With 40 suspects
@@ -41,12 +41,12 @@
         else:
             singles_ms = SINGLE_NEAR_MS if is_near else SINGLE_FAR_MS
             facts = self._table.facts(MOST_TOLD, singles_ms, SUSPECT_MS)
-        return [note_of(fact) for fact in facts]
+        return [to_crash_note(fact) for fact in facts]
 
     def take(self, notes: list[CrashNote]) -> list[CrashNote]:
         """Take in what a peer told; return what was news of suspects."""
         changes = self._table.take(map(fact_of, notes))
-        return [note_of(one.fact) for one in changes if one.concerns_suspect]
+        return [to_crash_note(one.fact) for one in changes if one.concerns_suspect]
 
     def news_of(self, change: CrashChange, instances: int) -> CrashNews | None:
         """Return what every instance is to hear at once; `instances` share what may be told so."""
@@ -55,4 +55,4 @@
         if not self._allowance.take(instances):
             # The rounds tell it.
             return None
-        return CrashNews([note_of(change.fact)], pass_on=True)
+        return CrashNews([to_crash_note(change.fact)], pass_on=True)
--- a/sparline/instance/_control.py
+++ b/sparline/instance/_control.py
@@ -23,7 +23,7 @@
     next_hops,
     scope_of,
 )
-from sparline.quarantine import CrashChange, CrashTable, FactSource, fact_of, note_of
+from sparline.quarantine import CrashChange, CrashTable, FactSource, fact_of, to_crash_note
 from sparline.routing import (
     LoadTable,
     Reporter,
@@ -118,7 +118,9 @@
         self, changes: list[CrashChange], came_from: Scope, link: PeerLink | None
     ) -> None:
         hops = next_hops(self._parts.membership, came_from, came_from is not Scope.REGION)
-        news = EncodedMessage.of(CrashNews([note_of(one.fact) for one in changes], pass_on=True))
+        news = EncodedMessage.of(
+            CrashNews([to_crash_note(one.fact) for one in changes], pass_on=True)
+        )
         for hop in hops:
             if hop is not link:
                 hop.send(news)
@@ -188,7 +190,7 @@
         # What was told while there was no link is made up for.
         suspects = self._parts.crashes.facts(MOST_TOLD_TO_NEW, 0.0, FOREVER_MS)
         if suspects:
-            link.send(CrashNews([note_of(one) for one in suspects], pass_on=True))
+            link.send(CrashNews([to_crash_note(one) for one in suspects], pass_on=True))
         if scope_of(self._parts.membership.self_hello, link.peer) is Scope.SIBLING:
             for held in self._parts.summaries.fresh():
                 link.send(aged(held.summary, now_ms() - held.received_ms))
--- a/sparline/quarantine/__init__.py
+++ b/sparline/quarantine/__init__.py
@@ -9,7 +9,7 @@
     Verdict,
 )
 from sparline.quarantine._digest import RequestDigest, digest_of, short_hex
-from sparline.quarantine._notes import fact_of, note_of
+from sparline.quarantine._notes import fact_of, to_crash_note
 from sparline.quarantine._server_ends import (
     EndEvidence,
     ProbeResult,
@@ -31,6 +31,6 @@
     "Verdict",
     "digest_of",
     "fact_of",
-    "note_of",
     "short_hex",
+    "to_crash_note",
 ]
--- a/sparline/quarantine/_notes.py
+++ b/sparline/quarantine/_notes.py
@@ -5,7 +5,7 @@
 from sparline.schema._gossip import CrashNote
 
 
-def note_of(fact: CrashFact) -> CrashNote:
+def to_crash_note(fact: CrashFact) -> CrashNote:
     """Convert a fact to its message form."""
     return CrashNote(fact.digest, sorted(fact.ended), sorted(fact.cleared), round(fact.age_ms))
 
