--- a/sparline/fleet/_crash_exchange.py
+++ b/sparline/fleet/_crash_exchange.py
@@ -6,7 +6,7 @@
 """
 
 from sparline.fleet._news_allowance import NewsAllowance
-from sparline.quarantine import CrashChange, CrashTable, FactSource, fact_of, to_crash_note
+from sparline.quarantine import CrashChange, CrashTable, FactSource, to_crash_fact, to_crash_note
 from sparline.schema._gossip import CrashNews, CrashNote
 
 # Requests told of in a datagram (count), some 35 bytes each: it stays below 1,400 bytes. With 40 suspects
@@ -45,7 +45,7 @@
 
     def take(self, notes: list[CrashNote]) -> list[CrashNote]:
         """Take in what a peer told; return what was news of suspects."""
-        changes = self._table.take(map(fact_of, notes))
+        changes = self._table.take(map(to_crash_fact, notes))
         return [to_crash_note(one.fact) for one in changes if one.concerns_suspect]
 
     def news_of(self, change: CrashChange, instances: int) -> CrashNews | None:
--- a/sparline/instance/_control.py
+++ b/sparline/instance/_control.py
@@ -23,7 +23,7 @@
     next_hops,
     scope_of,
 )
-from sparline.quarantine import CrashChange, CrashTable, FactSource, fact_of, to_crash_note
+from sparline.quarantine import CrashChange, CrashTable, FactSource, to_crash_fact, to_crash_note
 from sparline.routing import (
     LoadTable,
     Reporter,
@@ -270,7 +270,7 @@
 
     @_take.register
     def _(self, message: CrashNews, link: PeerLink) -> None:
-        changes = self._parts.crashes.take(map(fact_of, message.crashes))
+        changes = self._parts.crashes.take(map(to_crash_fact, message.crashes))
         if changes:
             came_from = scope_of(self._parts.membership.self_hello, link.peer)
             self._spread_crashes(changes, came_from, link)
--- a/sparline/quarantine/__init__.py
+++ b/sparline/quarantine/__init__.py
@@ -9,7 +9,7 @@
     Verdict,
 )
 from sparline.quarantine._digest import RequestDigest, digest_of, short_hex
-from sparline.quarantine._notes import fact_of, to_crash_note
+from sparline.quarantine._notes import to_crash_fact, to_crash_note
 from sparline.quarantine._server_ends import (
     EndEvidence,
     ProbeResult,
@@ -30,7 +30,7 @@
     "ServerEndDetector",
     "Verdict",
     "digest_of",
-    "fact_of",
     "short_hex",
+    "to_crash_fact",
     "to_crash_note",
 ]
--- a/sparline/quarantine/_notes.py
+++ b/sparline/quarantine/_notes.py
@@ -10,7 +10,7 @@
     return CrashNote(fact.digest, sorted(fact.ended), sorted(fact.cleared), round(fact.age_ms))
 
 
-def fact_of(note: CrashNote) -> CrashFact:
+def to_crash_fact(note: CrashNote) -> CrashFact:
     """Convert a peer's message to a fact."""
     return CrashFact(
         RequestDigest(note.digest), frozenset(note.ended), frozenset(note.cleared), note.age_ms
