--- a/sparline/gateway/_request_log.py
+++ b/sparline/gateway/_request_log.py
@@ -8,7 +8,13 @@
 from sparline.gateway._log_output import LineBudget
 from sparline.gateway._metrics import GatewayMetrics
 from sparline.placement import ColdUse, Placement, Refusal, ServerLimit
-from sparline.quarantine import MOST_ENDS, CrashChange, EndEvidence, RequestDigest, short_hex
+from sparline.quarantine import (
+    MIN_QUARANTINE_ENDS,
+    CrashChange,
+    EndEvidence,
+    RequestDigest,
+    short_hex,
+)
 from sparline.requests import Prompt, Reason, RoutedRequest
 
 # Lines a second for answered requests and for all others, an instance; above them lines are
@@ -66,7 +72,11 @@
 
     def note_crash(self, change: CrashChange, quarantine_ms: float) -> None:
         """Note what has changed in what is known of one request, and what follows from it."""
-        ends = str(change.ends) if change.ends < MOST_ENDS else f"{MOST_ENDS}_or_more"
+        ends = (
+            str(change.ends)
+            if change.ends < MIN_QUARANTINE_ENDS
+            else f"{MIN_QUARANTINE_ENDS}_or_more"
+        )
         self._metrics.crashes.labels(change.learnt.value, ends).inc()
         if not change.concerns_suspect or not self._crashes.take():
             return
--- a/sparline/instance/_instance.py
+++ b/sparline/instance/_instance.py
@@ -31,7 +31,7 @@
 from sparline.peers import MAX_MESSAGE_BYTES, Dialer, Membership, Mesh, read_hello, stop_serving
 from sparline.publication import PlatformClient, PlatformReader, ReaderHooks
 from sparline.quarantine import (
-    MOST_ENDS,
+    MIN_QUARANTINE_ENDS,
     CrashChange,
     CrashTable,
     RequestDigest,
@@ -104,7 +104,9 @@
         )
 
     def _note_crash(self, change: CrashChange) -> None:
-        self.metrics.crashes.labels(change.learnt.value, str(min(change.ends, MOST_ENDS))).inc()
+        self.metrics.crashes.labels(
+            change.learnt.value, str(min(change.ends, MIN_QUARANTINE_ENDS))
+        ).inc()
         if change.concerns_suspect:
             log.warning(
                 "quarantine: {} backend servers ended under request {}, told by {}",
--- a/sparline/quarantine/__init__.py
+++ b/sparline/quarantine/__init__.py
@@ -1,7 +1,7 @@
 """Quarantine of requests that repeatedly crash the backend servers that run them."""
 
 from sparline.quarantine._crash_table import (
-    MOST_ENDS,
+    MIN_QUARANTINE_ENDS,
     CrashChange,
     CrashFact,
     CrashTable,
@@ -18,7 +18,7 @@
 )
 
 __all__ = [
-    "MOST_ENDS",
+    "MIN_QUARANTINE_ENDS",
     "CrashChange",
     "CrashFact",
     "CrashTable",
--- a/sparline/quarantine/_crash_table.py
+++ b/sparline/quarantine/_crash_table.py
@@ -20,7 +20,7 @@
 # try.
 MIN_SUSPECT_ENDS = 2
 # Crashes that put a request in quarantine: operators tolerate three.
-MOST_ENDS = 3
+MIN_QUARANTINE_ENDS = 3
 # After this long (ms), doubled with each further crash, a request in quarantine is tried again as a
 # suspect. A false positive fails one caller's request for that time; trying a request that does
 # crash servers costs an engine with everything that runs there, and its cold start.
@@ -145,7 +145,7 @@
         return self._quarantine_left_ms(record) if record else 0.0
 
     def _quarantine_left_ms(self, record: _Record) -> float:
-        if record.ends < MOST_ENDS:
+        if record.ends < MIN_QUARANTINE_ENDS:
             return 0.0
         return max(record.ended_at_ms + _quarantine_ms(record.ends) - now_ms(), 0.0)
 
@@ -264,9 +264,9 @@
 
 
 def _quarantine_ms(ends: int) -> float:
-    if ends < MOST_ENDS:
+    if ends < MIN_QUARANTINE_ENDS:
         return 0.0
-    return min(QUARANTINE_MS * 2.0 ** (ends - MOST_ENDS), MAX_QUARANTINE_MS)
+    return min(QUARANTINE_MS * 2.0 ** (ends - MIN_QUARANTINE_ENDS), MAX_QUARANTINE_MS)
 
 
 def _trim_ends(record: _Record) -> None:
