--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -222,7 +222,7 @@
         elif end.outcome is Outcome.complete:
             self._parts.loads.note_success(backend)
             if (digest := request.digest()) is not None:
-                self._parts.crashes.note_whole(digest)
+                self._parts.crashes.note_complete_answer(digest)
 
     def _note_crash(self, request: Request, backend: BackendState, end: AnswerEnd) -> None:
         """Count a backend server that ended while it ran a request."""
--- a/sparline/fleet/tests/test_crash_exchange.py
+++ b/sparline/fleet/tests/test_crash_exchange.py
@@ -101,7 +101,7 @@
     for server in ("a", "b"):
         fleet.instances["10.1.0.2"].crashes.note_end(ONE, server)
     fleet.pass_ms(500)
-    fleet.instances["10.3.0.2"].crashes.note_whole(ONE)
+    fleet.instances["10.3.0.2"].crashes.note_complete_answer(ONE)
     fleet.pass_ms(LATE * FAR_MS + 20)
     assert set(verdicts(fleet)) == {Verdict.CLEAR}
 
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -155,7 +155,7 @@
             self.placement = place
             end = self._attempt(place)
             if end.result is AttemptResult.DELIVERED:
-                self._parts.crashes.note_whole(self._own_digest())
+                self._parts.crashes.note_complete_answer(self._own_digest())
                 return self._ended(200, Reason.NONE)
             if end.reason is Reason.QUARANTINED:
                 return self._end_quarantined()
--- a/sparline/quarantine/_crash_table.py
+++ b/sparline/quarantine/_crash_table.py
@@ -165,7 +165,7 @@
         fact = CrashFact(digest, frozenset((run_key(server_id),)), frozenset(), 0.0)
         self._merge(fact, learnt)
 
-    def note_whole(self, digest: RequestDigest) -> None:
+    def note_complete_answer(self, digest: RequestDigest) -> None:
         """Record that a server has answered a request completely."""
         self._answered_at_ms[digest] = now_ms()
         self._answered_at_ms.move_to_end(digest)
--- a/sparline/quarantine/tests/test_crash_table.py
+++ b/sparline/quarantine/tests/test_crash_table.py
@@ -75,7 +75,7 @@
 def test_complete_answer_clears_earlier_ends(clock):
     table = CrashTable()
     ended(table, "a", "b")
-    table.note_whole(DIGEST)
+    table.note_complete_answer(DIGEST)
     assert table.verdict(DIGEST) is Verdict.CLEAR
     # It also clears ends that an uninformed peer still reports.
     table.take([fact("a", "b")])
@@ -94,7 +94,7 @@
 
 def test_recently_answered_request_is_not_blamed_for_a_simultaneous_loss(clock):
     table = CrashTable()
-    table.note_whole(DIGEST)
+    table.note_complete_answer(DIGEST)
     clock[0] += 100
     ended(table, "a", "b", "c")
     assert table.verdict(DIGEST) is Verdict.CLEAR
@@ -106,7 +106,7 @@
 
 def test_complete_answer_expires(clock):
     table = CrashTable()
-    table.note_whole(DIGEST)
+    table.note_complete_answer(DIGEST)
     clock[0] += _crash_table.ANSWERED_TTL_MS
     ended(table, "a", "b", "c")
     assert table.verdict(DIGEST) is Verdict.QUARANTINED
@@ -181,7 +181,7 @@
     )
     ended(table, "a", "a", "b")
     table.take([fact("a", "b", "c")])
-    table.note_whole(DIGEST)
+    table.note_complete_answer(DIGEST)
     assert changes == [
         (0, 1, FactSource.HERE),
         (1, 2, FactSource.HERE),
