--- a/sparline/quarantine/_server_ends.py
+++ b/sparline/quarantine/_server_ends.py
@@ -133,7 +133,7 @@
         return BackendServerId(f"{server_id}/until-{now_ms():.0f}")
 
     @property
-    def has_doubts(self) -> bool:
+    def has_watched_requests(self) -> bool:
         """Return whether any request is watched, so that digests have to be computed."""
         since = now_ms() - WATCH_MS
         while self._watched and next(iter(self._watched.values())) < since:
--- a/sparline/quarantine/tests/test_server_ends.py
+++ b/sparline/quarantine/tests/test_server_ends.py
@@ -172,14 +172,14 @@
 
 def test_request_is_watched_after_an_unexplained_abort(clock):
     server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).parts())
-    assert not server_ends.has_doubts
+    assert not server_ends.has_watched_requests
     server_ends.wait_for_word(ONE, SERVER)
-    assert server_ends.has_doubts
+    assert server_ends.has_watched_requests
     assert server_ends.is_doubted(ONE)
     assert not server_ends.is_doubted(RequestDigest(b"2" * 16))
     clock[0] += _server_ends.WATCH_MS + 1
     assert not server_ends.is_doubted(ONE)
-    assert not server_ends.has_doubts
+    assert not server_ends.has_watched_requests
 
 
 def test_watched_requests_are_bounded(clock):
