--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -212,7 +212,7 @@
     def _is_doubted(self) -> bool:
         """Tell whether the request broke off before; its digest is worked out only if it matters."""
         ends = self._parts.tools.ends
-        return ends.has_watched_requests and ends.is_doubted(self._own_digest())
+        return ends.has_watched_requests and ends.has_unexplained_abort(self._own_digest())
 
     def _note_end(self, place: Placement, end: AttemptEnd) -> None:
         if end.result is AttemptResult.NOT_RUN:
--- a/sparline/quarantine/_server_ends.py
+++ b/sparline/quarantine/_server_ends.py
@@ -140,7 +140,7 @@
             self._watched.popitem(last=False)
         return bool(self._watched)
 
-    def is_doubted(self, digest: RequestDigest) -> bool:
+    def has_unexplained_abort(self, digest: RequestDigest) -> bool:
         """Return whether an answer to a request was recently aborted without an explanation."""
         return self._watched.get(digest, 0.0) > now_ms() - WATCH_MS
 
--- a/sparline/quarantine/tests/test_server_ends.py
+++ b/sparline/quarantine/tests/test_server_ends.py
@@ -175,10 +175,10 @@
     assert not server_ends.has_watched_requests
     server_ends.wait_for_word(ONE, SERVER)
     assert server_ends.has_watched_requests
-    assert server_ends.is_doubted(ONE)
-    assert not server_ends.is_doubted(RequestDigest(b"2" * 16))
+    assert server_ends.has_unexplained_abort(ONE)
+    assert not server_ends.has_unexplained_abort(RequestDigest(b"2" * 16))
     clock[0] += _server_ends.WATCH_MS + 1
-    assert not server_ends.is_doubted(ONE)
+    assert not server_ends.has_unexplained_abort(ONE)
     assert not server_ends.has_watched_requests
 
 
@@ -186,5 +186,5 @@
     server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).parts())
     for number in range(2 * _server_ends.MAX_WATCHED):
         server_ends.wait_for_word(RequestDigest(b"%d" % number), SERVER)
-    assert not server_ends.is_doubted(RequestDigest(b"0"))
+    assert not server_ends.has_unexplained_abort(RequestDigest(b"0"))
     assert len(server_ends._watched) == _server_ends.MAX_WATCHED
