--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -244,7 +244,7 @@
     def _note_crash(self, place: Placement, end: AttemptEnd) -> None:
         """Note a server that ended with the request, and repeat a suspect no more."""
         if end.in_doubt:
-            self._parts.tools.ends.wait_for_word(self._own_digest(), place.server.id)
+            self._parts.tools.ends.note_aborted_answer(self._own_digest(), place.server.id)
         if end.ended_server is None:
             return
         self._ended_server = end.ended_server
--- a/sparline/quarantine/_server_ends.py
+++ b/sparline/quarantine/_server_ends.py
@@ -144,7 +144,7 @@
         """Return whether an answer to a request was recently aborted without an explanation."""
         return self._watched.get(digest, 0.0) > now_ms() - WATCH_MS
 
-    def wait_for_word(self, digest: RequestDigest, server_id: BackendServerId) -> None:
+    def note_aborted_answer(self, digest: RequestDigest, server_id: BackendServerId) -> None:
         """Remember an aborted answer until the store shows whether the server has terminated."""
         self._watched[digest] = now_ms()
         self._watched.move_to_end(digest)
--- a/sparline/quarantine/tests/test_server_ends.py
+++ b/sparline/quarantine/tests/test_server_ends.py
@@ -116,7 +116,7 @@
 def test_store_removal_explains_aborted_answers(clock, after_ms, heard_at_ms, ended):
     environment = FakeEnvironment(ProbeResult.UNKNOWN)
     server_ends = ServerEndDetector(environment.parts())
-    server_ends.wait_for_word(ONE, SERVER)
+    server_ends.note_aborted_answer(ONE, SERVER)
     clock[0] += after_ms
     environment.heard_at_ms = heard_at_ms
     assert server_ends.note_gone(BackendServerId("another")) == []
@@ -129,7 +129,7 @@
     server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.UNKNOWN).parts())
     for number in range(2 * _server_ends.MAX_UNEXPLAINED):
         clock[0] += 0.001
-        server_ends.wait_for_word(ONE, BackendServerId(f"s{number}"))
+        server_ends.note_aborted_answer(ONE, BackendServerId(f"s{number}"))
     assert len(server_ends._unexplained) == _server_ends.MAX_UNEXPLAINED
 
 
@@ -173,7 +173,7 @@
 def test_request_is_watched_after_an_unexplained_abort(clock):
     server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).parts())
     assert not server_ends.has_watched_requests
-    server_ends.wait_for_word(ONE, SERVER)
+    server_ends.note_aborted_answer(ONE, SERVER)
     assert server_ends.has_watched_requests
     assert server_ends.has_unexplained_abort(ONE)
     assert not server_ends.has_unexplained_abort(RequestDigest(b"2" * 16))
@@ -185,6 +185,6 @@
 def test_watched_requests_are_bounded(clock):
     server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).parts())
     for number in range(2 * _server_ends.MAX_WATCHED):
-        server_ends.wait_for_word(RequestDigest(b"%d" % number), SERVER)
+        server_ends.note_aborted_answer(RequestDigest(b"%d" % number), SERVER)
     assert not server_ends.has_unexplained_abort(RequestDigest(b"0"))
     assert len(server_ends._watched) == _server_ends.MAX_WATCHED
