--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -298,7 +298,7 @@
 
     def _note_gone(self, server: BackendServer) -> None:
         """Count a server's end under the requests that broke off with it."""
-        for digest in self.ends.note_gone(server.id):
+        for digest in self.ends.note_removed(server.id):
             self.crashes.note_end(digest, server.id)
 
     def _note_crash(self, change: CrashChange) -> None:
--- a/sparline/quarantine/_server_ends.py
+++ b/sparline/quarantine/_server_ends.py
@@ -154,7 +154,7 @@
         if len(self._unexplained) > MAX_UNEXPLAINED:
             self._unexplained.popitem(last=False)
 
-    def note_gone(self, server_id: BackendServerId) -> list[RequestDigest]:
+    def note_removed(self, server_id: BackendServerId) -> list[RequestDigest]:
         """Return the requests whose aborted answers are explained by the removal of a server."""
         aborted = [one for one in self._unexplained if one.server_id == server_id]
         for one in aborted:
--- a/sparline/quarantine/tests/test_server_ends.py
+++ b/sparline/quarantine/tests/test_server_ends.py
@@ -119,9 +119,9 @@
     server_ends.note_aborted_answer(ONE, SERVER)
     clock[0] += after_ms
     environment.heard_at_ms = heard_at_ms
-    assert server_ends.note_gone(BackendServerId("another")) == []
-    assert server_ends.note_gone(SERVER) == ended
-    assert server_ends.note_gone(SERVER) == []
+    assert server_ends.note_removed(BackendServerId("another")) == []
+    assert server_ends.note_removed(SERVER) == ended
+    assert server_ends.note_removed(SERVER) == []
     assert environment.ends == ([("e1", EndEvidence.GONE)] if ended else [])
 
 
