--- a/sparline/quarantine/_crash_table.py
+++ b/sparline/quarantine/_crash_table.py
@@ -237,16 +237,16 @@
         with one crash and with more.
         """
         now = now_ms()
-        told = [
+        changed = [
             (digest, one)
             for digest, one in self._records.items()
             if now - one.changed_at_ms <= (suspects_ms if one.is_suspect else singles_ms)
         ]
-        told.sort(key=lambda pair: (len(pair[1].ended), pair[1].changed_at_ms), reverse=True)
-        if len(told) > most:
-            first = most - most // 2
-            told = told[:first] + random.sample(told[first:], most - first)
-        return [_fact_of(digest, one, now) for digest, one in told]
+        changed.sort(key=lambda pair: (len(pair[1].ended), pair[1].changed_at_ms), reverse=True)
+        if len(changed) > most:
+            top_count = most - most // 2
+            changed = changed[:top_count] + random.sample(changed[top_count:], most - top_count)
+        return [_fact_of(digest, one, now) for digest, one in changed]
 
     def forget_old(self) -> None:
         """Drop the records of requests without recent crashes."""
--- a/sparline/quarantine/_server_ends.py
+++ b/sparline/quarantine/_server_ends.py
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEndCallbacks:
-    """Hold the dependencies of the termination detection."""
+    """Hold the callbacks of the termination detection."""
 
     probe: Callable[[Address, float], ProbeResult]  # tries to connect, with a timeout in seconds
     heard_at_ms: Callable[[BackendServerId], float]  # time when a server last sent anything
@@ -84,9 +84,9 @@
 class ServerEndDetector:
     """Detect terminated servers: at once by their connections, later by the store."""
 
-    def __init__(self, parts: ServerEndCallbacks) -> None:
+    def __init__(self, callbacks: ServerEndCallbacks) -> None:
         """Start without any aborted answer."""
-        self._dependencies = parts
+        self._callbacks = callbacks
         self._probes: dict[BackendServerId, AsyncResult] = {}
         self._probe_results: OrderedDict[BackendServerId, tuple[ProbeResult, float]] = OrderedDict()
         self._unexplained: OrderedDict[AbortedAnswer, None] = OrderedDict()
@@ -103,7 +103,7 @@
         result = self._probes[server_id] = AsyncResult()
         found = ProbeResult.UNKNOWN
         try:
-            found = self._dependencies.probe(address, PROBE_TIMEOUT_MS / 1000)
+            found = self._callbacks.probe(address, PROBE_TIMEOUT_MS / 1000)
         finally:
             # Runs also when this greenlet is killed, since others wait for the result.
             del self._probes[server_id]
@@ -116,8 +116,8 @@
         if len(self._probe_results) > MAX_UNEXPLAINED:
             self._probe_results.popitem(last=False)
         if found is ProbeResult.REFUSED:
-            self._dependencies.note_unreachable(server_id)
-            self._dependencies.on_end(server_id, EndEvidence.REFUSED)
+            self._callbacks.note_unreachable(server_id)
+            self._callbacks.on_end(server_id, EndEvidence.REFUSED)
 
     def witnessed_end(
         self, server_id: BackendServerId, witnesses: Sequence[OtherConnection]
@@ -129,7 +129,7 @@
         """
         if not witnesses or not all(one.is_lost() for one in witnesses):
             return None
-        self._dependencies.on_end(server_id, EndEvidence.WITNESSED)
+        self._callbacks.on_end(server_id, EndEvidence.WITNESSED)
         return BackendServerId(f"{server_id}/until-{now_ms():.0f}")
 
     @property
@@ -160,12 +160,12 @@
         for one in aborted:
             del self._unexplained[one]
         since = now_ms() - MAX_REMOVAL_DELAY_MS
-        heard_at_ms = self._dependencies.heard_at_ms(server_id)
+        heard_at_ms = self._callbacks.heard_at_ms(server_id)
         ended = [
             one.digest
             for one in aborted
             if one.aborted_at_ms >= since and heard_at_ms < one.aborted_at_ms
         ]
         if ended:
-            self._dependencies.on_end(server_id, EndEvidence.GONE)
+            self._callbacks.on_end(server_id, EndEvidence.GONE)
         return ended
--- a/sparline/quarantine/tests/test_crash_table.py
+++ b/sparline/quarantine/tests/test_crash_table.py
@@ -62,10 +62,10 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "ends"), [row[1:] for row in MERGES], ids=[row[0] for row in MERGES]
+    ("reports", "ends"), [row[1:] for row in MERGES], ids=[row[0] for row in MERGES]
 )
-def test_merge_is_independent_of_order(clock, told, ends):
-    for order in (told, told[::-1]):
+def test_merge_is_independent_of_order(clock, reports, ends):
+    for order in (reports, reports[::-1]):
         table = CrashTable()
         for servers in order:
             table.take([fact(*servers)])
@@ -99,9 +99,9 @@
     ended(table, "a", "b", "c")
     assert table.verdict(DIGEST) is Verdict.CLEAR
     # The change is passed to instances that have not answered it yet.
-    (told,) = table.take([fact("a", "b", "c")])
-    assert told.concerns_suspect
-    assert told.fact.cleared == told.fact.ended
+    (change,) = table.take([fact("a", "b", "c")])
+    assert change.concerns_suspect
+    assert change.fact.cleared == change.fact.ended
 
 
 def test_complete_answer_expires(clock):
--- a/sparline/quarantine/tests/test_server_ends.py
+++ b/sparline/quarantine/tests/test_server_ends.py
@@ -34,7 +34,7 @@
         gevent.sleep(0.01)
         return self.reach
 
-    def parts(self) -> ServerEndCallbacks:
+    def callbacks(self) -> ServerEndCallbacks:
         return ServerEndCallbacks(
             self.probe,
             lambda _server_id: self.heard_at_ms,
@@ -64,7 +64,7 @@
 )
 def test_probe_result_decides(clock, reach, unreachable, ends):
     environment = FakeEnvironment(reach)
-    server_ends = ServerEndDetector(environment.parts())
+    server_ends = ServerEndDetector(environment.callbacks())
     assert server_ends.reach(SERVER, ADDRESS) is reach
     assert environment.unreachable == unreachable
     assert environment.ends == ends
@@ -72,7 +72,7 @@
 
 def test_concurrent_callers_share_one_probe(clock):
     environment = FakeEnvironment(ProbeResult.REFUSED)
-    server_ends = ServerEndDetector(environment.parts())
+    server_ends = ServerEndDetector(environment.callbacks())
     callers = [gevent.spawn(server_ends.reach, SERVER, ADDRESS) for _ in range(30)]
     gevent.joinall(callers, timeout=20)
     assert [one.value for one in callers] == [ProbeResult.REFUSED] * 30
@@ -83,7 +83,7 @@
 
 def test_accepted_probe_is_not_reused(clock):
     environment = FakeEnvironment(ProbeResult.OPEN)
-    server_ends = ServerEndDetector(environment.parts())
+    server_ends = ServerEndDetector(environment.callbacks())
     server_ends.reach(SERVER, ADDRESS)
     environment.reach = ProbeResult.REFUSED
     assert server_ends.reach(SERVER, ADDRESS) is ProbeResult.REFUSED
@@ -91,7 +91,7 @@
 
 def test_waiters_are_released_when_the_probing_greenlet_is_killed(clock):
     environment = FakeEnvironment(ProbeResult.REFUSED)
-    server_ends = ServerEndDetector(environment.parts())
+    server_ends = ServerEndDetector(environment.callbacks())
     prober = gevent.spawn(server_ends.reach, SERVER, ADDRESS)
     gevent.sleep(0)
     waiting = gevent.spawn(server_ends.reach, SERVER, ADDRESS)
@@ -115,7 +115,7 @@
 )
 def test_store_removal_explains_aborted_answers(clock, after_ms, heard_at_ms, ended):
     environment = FakeEnvironment(ProbeResult.UNKNOWN)
-    server_ends = ServerEndDetector(environment.parts())
+    server_ends = ServerEndDetector(environment.callbacks())
     server_ends.note_aborted_answer(ONE, SERVER)
     clock[0] += after_ms
     environment.heard_at_ms = heard_at_ms
@@ -126,7 +126,7 @@
 
 
 def test_unexplained_aborts_are_bounded(clock):
-    server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.UNKNOWN).parts())
+    server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.UNKNOWN).callbacks())
     for number in range(2 * _server_ends.MAX_UNEXPLAINED):
         clock[0] += 0.001
         server_ends.note_aborted_answer(ONE, BackendServerId(f"s{number}"))
@@ -157,21 +157,21 @@
 )
 def test_server_that_loses_every_connection_has_ended(clock, lost, has_ended):
     environment = FakeEnvironment(ProbeResult.OPEN)
-    server_ends = ServerEndDetector(environment.parts())
+    server_ends = ServerEndDetector(environment.callbacks())
     found = server_ends.witnessed_end(SERVER, [Connection(one) for one in lost])
     assert (found is not None) is has_ended
     assert environment.ends == ([(SERVER, EndEvidence.WITNESSED)] if has_ended else [])
 
 
 def test_two_ends_under_one_server_id_are_distinct(clock):
-    server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).parts())
+    server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).callbacks())
     first = server_ends.witnessed_end(SERVER, [Connection(True)])
     clock[0] += 200
     assert server_ends.witnessed_end(SERVER, [Connection(True)]) != first
 
 
 def test_request_is_watched_after_an_unexplained_abort(clock):
-    server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).parts())
+    server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).callbacks())
     assert not server_ends.has_watched_requests
     server_ends.note_aborted_answer(ONE, SERVER)
     assert server_ends.has_watched_requests
@@ -183,7 +183,7 @@
 
 
 def test_watched_requests_are_bounded(clock):
-    server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).parts())
+    server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).callbacks())
     for number in range(2 * _server_ends.MAX_WATCHED):
         server_ends.note_aborted_answer(RequestDigest(b"%d" % number), SERVER)
     assert not server_ends.has_unexplained_abort(RequestDigest(b"0"))
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -108,9 +108,9 @@
 class QuotaLimiter:
     """Admit requests by quota; the owner transports reports and answers."""
 
-    def __init__(self, bounds: QuotaTolerance, rng: random.Random) -> None:
+    def __init__(self, tolerance: QuotaTolerance, rng: random.Random) -> None:
         """Start without any answer from a coordinator."""
-        self._bounds = bounds
+        self._tolerance = tolerance
         self._rng = rng
         self._states: dict[int, _QuotaState] = {}
         self._admitted: dict[int, _AdmittedUnits] = {}
@@ -130,7 +130,7 @@
         if organisation.quota is None:
             return None
         key = quota_key(organisation.id)
-        terms = make_quota_parameters(organisation.quota, self._bounds)
+        terms = make_quota_parameters(organisation.quota, self._tolerance)
         state = self._states.get(key)
         if state is None:
             initial_level = terms.first / max(instances, 1)
--- a/sparline/quotas/_terms.py
+++ b/sparline/quotas/_terms.py
@@ -40,14 +40,16 @@
     first: float  # initial level when prior use is unknown
 
 
-def make_quota_parameters(quota: Quota, bounds: QuotaTolerance) -> QuotaParameters:
+def make_quota_parameters(quota: Quota, tolerance: QuotaTolerance) -> QuotaParameters:
     """Return the refill parameters of a quota.
 
     The initial level stays within the tolerance, so that a restart doesn't grant a second burst.
     """
-    used = TOLERANCE_USED * bounds.room(quota)
+    tolerated_units = TOLERANCE_USED * tolerance.room(quota)
     return QuotaParameters(
-        quota.per_s, quota.burst + used, max(used, INITIAL_FRACTION * quota.burst)
+        quota.per_s,
+        quota.burst + tolerated_units,
+        max(tolerated_units, INITIAL_FRACTION * quota.burst),
     )
 
 
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -24,12 +24,12 @@
 PER_S = 1_000.0
 QUOTA = Quota(QuotaUnit.TOKENS, PER_S, PER_S, 200.0)
 ORGANISATION = Organisation(ORGANISATION_ID, frozenset(), None, frozenset(), QUOTA)
-BOUNDS = QuotaTolerance(window_s=8.0, excess=0.25, slack=750.0)
+TOLERANCE = QuotaTolerance(window_s=8.0, excess=0.25, slack=750.0)
 NORTH, SOUTH = RegionName("north"), RegionName("south")
 
 
-def allowance() -> QuotaLimiter:
-    return QuotaLimiter(BOUNDS, random.Random(1))
+def new_limiter() -> QuotaLimiter:
+    return QuotaLimiter(TOLERANCE, random.Random(1))
 
 
 COSTS = [
@@ -47,13 +47,13 @@
 
 def test_organisation_without_quota_is_never_refused():
     unlimited = Organisation(ORGANISATION_ID, frozenset(), None, frozenset(), None)
-    one = allowance()
+    one = new_limiter()
     assert all(one.admit(unlimited, 1e9, 1, 0.0) is None for _ in range(9))
     assert one.left(ORGANISATION_ID, 0.0) is None
 
 
 def test_request_above_remaining_quota_is_admitted_and_leaves_debt():
-    one = allowance()
+    one = new_limiter()
     assert one.admit(ORGANISATION, 60_000.0, 1, 0.0) is None
     wait_ms = one.admit(ORGANISATION, 1.0, 1, 0.0)
     assert 8_000 <= wait_ms <= 10_000
@@ -61,7 +61,7 @@
 
 
 def test_instance_without_coordinator_uses_its_own_share():
-    one = allowance()
+    one = new_limiter()
     admitted = 0.0
     for ms in range(0, 20_000, 10):
         if one.admit(ORGANISATION, 10.0, 10, float(ms)) is None:
@@ -70,7 +70,7 @@
 
 
 def test_answer_sets_level_less_units_it_does_not_include():
-    one = allowance()
+    one = new_limiter()
     one.admit(ORGANISATION, 10.0, 1, 0.0)
     report = one.report(0.0)
     assert report.uses == [QuotaUsage(KEY, 10.0, 10.0, None)]
@@ -82,7 +82,7 @@
 
 
 def test_overtaken_answer_is_ignored():
-    one = allowance()
+    one = new_limiter()
     one.admit(ORGANISATION, 10.0, 1, 0.0)
     first = one.report(0.0)
     one.admit(ORGANISATION, 10.0, 1, 0.0)
@@ -93,7 +93,7 @@
 
 
 def test_unanswered_report_falls_back_to_own_share():
-    one = allowance()
+    one = new_limiter()
     one.admit(ORGANISATION, 10.0, 10, 0.0)
     one.apply_update(one.report(0.0).sequence, {KEY: 1_000.0}, 1.0)
     one.admit(ORGANISATION, 10.0, 10, 10.0)
@@ -101,11 +101,11 @@
     one.admit(ORGANISATION, 1.0, 10, 800.0)
     left = one.left(ORGANISATION_ID, 800.0)
     assert not left.is_fleet_wide
-    assert left.units <= make_quota_parameters(QUOTA, BOUNDS).most / 10
+    assert left.units <= make_quota_parameters(QUOTA, TOLERANCE).most / 10
 
 
 def test_settle_returns_units_not_run_and_charges_reruns():
-    one = allowance()
+    one = new_limiter()
     one.admit(ORGANISATION, 10.0, 1, 0.0)
     before = one.left(ORGANISATION_ID, 0.0).units
     one.settle(ORGANISATION_ID, -10.0)
@@ -115,7 +115,7 @@
 
 
 def test_backward_clock_jump_grants_no_units():
-    one = allowance()
+    one = new_limiter()
     one.admit(ORGANISATION, 1_000.0, 1, 50_000.0)
     left = one.left(ORGANISATION_ID, 50_000.0).units
     one.admit(ORGANISATION, 1.0, 1, 10_000.0)
@@ -123,8 +123,8 @@
     assert one.left(ORGANISATION_ID, 50_000.0).units <= left
 
 
-def account(terms: QuotaParameters | None = None) -> QuotaCoordinator:
-    found = terms or make_quota_parameters(QUOTA, BOUNDS)
+def new_coordinator(terms: QuotaParameters | None = None) -> QuotaCoordinator:
+    found = terms or make_quota_parameters(QUOTA, TOLERANCE)
     return QuotaCoordinator(
         NORTH, lambda key: found if key == KEY else None, lambda: {NORTH: 0.5, SOUTH: 0.5}
     )
@@ -135,7 +135,7 @@
 
 
 def test_repeated_totals_count_once():
-    one = account(QuotaParameters(0.0, 1_000.0, 2_000.0))
+    one = new_coordinator(QuotaParameters(0.0, 1_000.0, 2_000.0))
     one.take_report(("a", 1), report(100.0), 0.0)
     assert one.take_report(("a", 1), report(100.0), 0.0) == {KEY: 900.0}
     assert one.take_report(("b", 1), report(50.0), 0.0) == {KEY: 850.0}
@@ -144,20 +144,22 @@
 
 
 def test_new_coordinator_continues_from_the_level_in_a_report():
-    one = account(QuotaParameters(0.0, 1_000.0, 2_000.0))
+    one = new_coordinator(QuotaParameters(0.0, 1_000.0, 2_000.0))
     assert one.take_report(("a", 1), report(5_000.0, 30.0, 200.0), 0.0) == {KEY: 200.0}
     assert one.take_report(("b", 1), report(7_000.0, 30.0, 200.0), 0.0) == {KEY: 170.0}
 
 
 def test_use_of_unknown_organisation_is_ignored():
     assert (
-        account().take_report(("a", 1), UsageReport(1, [QuotaUsage(KEY + 1, 1.0, 1.0, None)]), 0.0)
+        new_coordinator().take_report(
+            ("a", 1), UsageReport(1, [QuotaUsage(KEY + 1, 1.0, 1.0, None)]), 0.0
+        )
         == {}
     )
 
 
 def test_use_of_another_region_is_subtracted():
-    one = account(QuotaParameters(0.0, 1_000.0, 2_000.0))
+    one = new_coordinator(QuotaParameters(0.0, 1_000.0, 2_000.0))
     one.take_totals(SOUTH, ("s", 1), [RegionTotal(KEY, 70.0)], 0.0)
     one.take_report(("a", 1), report(100.0), 0.0)
     one.take_totals(SOUTH, ("s", 1), [RegionTotal(KEY, 120.0)], 0.0)
@@ -188,7 +190,7 @@
 
 def test_idle_organisation_regains_no_units_when_its_state_is_dropped():
     # The instance drops its idle state meanwhile; the coordinator keeps its state for others.
-    one, coordinator = allowance(), account(QuotaParameters(0.0, 1_000.0, 2_000.0))
+    one, coordinator = new_limiter(), new_coordinator(QuotaParameters(0.0, 1_000.0, 2_000.0))
     one.admit(ORGANISATION, 60.0, 1, 0.0)
     coordinator.take_report(("a", 1), one.report(0.0), 0.0)
     coordinator.take_report(("b", 1), report(900.0), 70_000.0)
@@ -200,7 +202,7 @@
 
 def test_idle_region_regains_no_units_when_its_state_is_dropped():
     terms = QuotaParameters(0.0, 1_000.0, 2_000.0)
-    north, south = account(terms), account(terms)
+    north, south = new_coordinator(terms), new_coordinator(terms)
     north.take_report(("a", 1), report(60.0), 1.0)
     south.take_totals(NORTH, ("n", 1), north.totals(1.0), 1.0)
     # Units before the first total are not counted: 1 of 61 units is.
@@ -212,7 +214,7 @@
 
 
 def test_idle_debt_is_not_dropped():
-    one, coordinator = allowance(), account(QuotaParameters(1_000.0, 1_000.0, 1_000.0))
+    one, coordinator = new_limiter(), new_coordinator(QuotaParameters(1_000.0, 1_000.0, 1_000.0))
     one.admit(ORGANISATION, 200_000.0, 1, 0.0)
     coordinator.take_report(("a", 1), one.report(0.0), 0.0)
     one.forget_idle(70_000.0)
