--- a/sparline/quarantine/_crash_table.py
+++ b/sparline/quarantine/_crash_table.py
@@ -1,5 +1,6 @@
 """Table of backend server crashes by the request that was running.
 
+A crash is named an "end" in identifiers, metrics and messages.
 Facts of several instances are merged as sets, so that source, repetition and order don't matter. A
 complete answer clears the crashes before it: a request that crashes every server never gets one.
 """
@@ -16,8 +17,8 @@
 from sparline.quarantine._digest import RequestDigest
 
 # Crashes that make a request a suspect. A request that ran beside others on two servers that
-# crashed one after the other is mostly not the cause, so it may still be sent, but only once per
-# try.
+# crashed one after the other is usually not the cause, so it may still be sent, but once for each
+# arrival from a caller, without retries.
 MIN_SUSPECT_ENDS = 2
 # Crashes that put a request in quarantine: operators tolerate three.
 MIN_QUARANTINE_ENDS = 3
@@ -26,15 +27,16 @@
 # crash servers costs an engine with everything that runs there, and its cold start.
 QUARANTINE_MS = 120_000.0
 MAX_QUARANTINE_MS = 3_600_000.0
-# The record of a request without a new crash for this long is dropped (ms).
+# The record of a request without a new crash for this long (ms), or for twice its quarantine if
+# that is longer, is dropped.
 RECORD_TTL_MS = 600_000.0
 # Most records kept, at some 0.5 kB each. Above that a tenth is evicted at a time, those with the
 # fewest crashes first, so that the loss of many servers at once evicts no suspect.
 MAX_RECORDS = 2_560
 EVICTED_FRACTION = 0.1
 # A request that was answered completely here within this time is not blamed for crashes (ms): when
-# many callers send the same request, it runs on every server of a simultaneous loss without being
-# the cause.
+# many callers send the same request, it may be running on each of several servers that fail at the
+# same time without being the cause.
 ANSWERED_TTL_MS = 60_000.0
 # Most complete answers remembered for that, at some 0.15 kB each.
 MAX_ANSWERED = 2_048
@@ -79,7 +81,7 @@
 
     @property
     def concerns_suspect(self) -> bool:
-        """Return whether every instance should be informed at once."""
+        """Return whether the request was ever a suspect; every instance is informed at once."""
         return len(self.fact.ended) >= MIN_SUSPECT_ENDS
 
 
@@ -98,7 +100,7 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Return whether it was ever a suspect; peers are still informed of a cleared one."""
+        """Return whether the request was ever a suspect; peers are told when it is cleared."""
         return len(self.ended) >= MIN_SUSPECT_ENDS
 
 
--- a/sparline/quarantine/_digest.py
+++ b/sparline/quarantine/_digest.py
@@ -11,6 +11,7 @@
 DIGEST_BYTES = 16
 # Hexadecimal digits of a digest in log lines.
 LOG_DIGITS = 16
+# Size of the length that is hashed before each part.
 PART_LENGTH_BYTES = 8
 
 
--- a/sparline/quarantine/_server_ends.py
+++ b/sparline/quarantine/_server_ends.py
@@ -26,7 +26,7 @@
 # A server whose store entry is removed within this time after an aborted answer may have terminated
 # with it (ms): three missed heartbeats and the delay of the store.
 MAX_REMOVAL_DELAY_MS = 15_000.0
-# Most aborted answers awaiting a store update about their servers.
+# Most aborted answers awaiting a store update about their servers, and most probe results kept.
 MAX_UNEXPLAINED = 1_024
 # Repeats of a request are watched for this long after an unexplained aborted answer (ms): callers
 # retry within their deadlines.
@@ -50,7 +50,7 @@
     """Name the evidence that a server has terminated."""
 
     REFUSED = "refused"  # no process is listening at its address
-    GONE = "gone"  # its store entry was removed after an aborted answer and silence
+    GONE = "gone"  # its store entry was removed, and it sent nothing after the aborted answer
     WITNESSED = "witnessed"  # it lost all connections at once
 
 
@@ -93,7 +93,7 @@
         self._watched: OrderedDict[RequestDigest, float] = OrderedDict()  # time of the newest abort
 
     def reach(self, server_id: BackendServerId, address: Address) -> ProbeResult:
-        """Return whether a server that has just aborted an answer still accepts connections."""
+        """Probe whether a server that has just aborted an answer still accepts connections."""
         last_reach, probed_at_ms = self._probe_results.get(server_id, (ProbeResult.UNKNOWN, 0.0))
         if last_reach is ProbeResult.REFUSED and now_ms() - probed_at_ms < REFUSAL_TTL_MS:
             return last_reach
--- a/sparline/quotas/_account.py
+++ b/sparline/quotas/_account.py
@@ -16,7 +16,7 @@
 REPEAT_TOTALS_MS = 12_000.0
 # Most totals in a datagram, the newest first: at some 12 bytes each it stays below 1,400 bytes.
 MAX_TOTALS = 90
-# When little quota is left, totals are sent at once. The least interval grows with the number of
+# When little quota is left, totals are sent at once. The minimum interval grows with the number of
 # regions (ms for each), so that a coordinator receives at most a hundred messages a second from all
 # others.
 SEND_INTERVAL_PER_REGION_MS = 10.0
@@ -56,17 +56,18 @@
         terms_of: Callable[[int], QuotaParameters | None],
         region_shares: Callable[[], dict[RegionName, float]],
     ) -> None:
-        """Create the aggregate of a region.
+        """Start without any reports.
 
         `terms_of` returns the refill parameters of a quota by its key, None for an unknown key;
-        `region_shares` returns the share of each region in a quota, by the instances that may admit
-        requests there.
+        `region_shares` returns the share of each region in a quota, in proportion to the
+        instances that may admit requests there.
         """
         self._region = region
         self._terms_of = terms_of
         self._region_shares = region_shares
         self._states: dict[int, _QuotaState] = {}
-        # Other coordinators still remember the totals of dropped quotas.
+        # Other coordinators still remember the totals of dropped quotas, and would count a total
+        # that restarts from zero as returned units.
         self._dropped_totals: dict[int, float] = {}
         self._member_totals: dict[tuple[str, int], dict[int, float]] = {}
         self._member_reported_at_ms: dict[tuple[str, int], float] = {}
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -10,8 +10,9 @@
 from sparline.routes import Organisation
 
 # Admitted units are reported at this interval while much quota is left (ms), and at once when
-# little is left. The least interval grows with the number of instances in the region (ms for each),
-# so that the coordinator receives no more than some hundred reports a second from all of them.
+# little is left. The minimum interval grows with the number of instances in the region (ms for
+# each), so that the coordinator receives no more than some hundred reports a second from all of
+# them.
 REPORT_INTERVAL_MS = 1_000.0
 REPORT_INTERVAL_PER_INSTANCE_MS = 3.0
 MIN_REPORT_INTERVAL_MS = 20.0
@@ -49,7 +50,7 @@
     key: int  # quota key of the organisation
     total: float  # units admitted since the instance started
     unsaid: float  # units of them not included in the last answer
-    level: float | None  # remaining units by the last answer, None without one
+    level: float | None  # remaining units by the last answer, None without a recent one
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +66,7 @@
     """Represent the remaining quota as estimated by an instance."""
 
     units: float  # negative when in debt
-    is_fleet_wide: bool  # whether that is of the whole quota, not of the instance's share
+    is_fleet_wide: bool  # whether `units` is of the whole quota, not of the instance's share
     word_age_ms: float | None  # age of the coordinator's last answer, None without one
 
 
@@ -73,8 +74,8 @@
 class _AdmittedUnits:
     """Count the units admitted against one quota since the instance started.
 
-    It is kept when the quota state is dropped: the coordinator remembers the total, and would take
-    a total that restarts from zero for returned units.
+    It is kept when the quota state is dropped: the coordinator remembers the total, and would count
+    a total that restarts from zero as returned units.
     """
 
     total: float = 0.0  # units admitted
@@ -92,9 +93,9 @@
     at_ms: float  # time of `level`
     requested_at_ms: float  # time of the last request
     has_refused: bool = False  # whether a request was refused since the last answer
-    has_answer: bool = False  # whether the level is the fleet's, not this instance's share
+    has_answer: bool = False  # whether `level` is the fleet's, not this instance's share
     answered_at_ms: float = float("-inf")  # time of the last answer
-    answered_level: float = 0.0  # remaining units by it, less all that this instance admitted
+    answered_level: float = 0.0  # remaining units by it, less those admitted here that it omits
 
 
 @dataclass(slots=True)
@@ -106,7 +107,7 @@
 
 
 class QuotaLimiter:
-    """Admit requests by quota; the owner transports reports and answers."""
+    """Admit requests by quota; the caller sends the reports and passes on the answers."""
 
     def __init__(self, tolerance: QuotaTolerance, rng: random.Random) -> None:
         """Start without any answer from a coordinator."""
@@ -237,7 +238,7 @@
         return UsageReport(self._sequence, uses)
 
     def is_unanswered(self, now: float) -> bool:
-        """Return whether the coordinator has failed to answer within `ANSWER_MS`."""
+        """Return whether the coordinator has failed to answer within `ANSWER_TIMEOUT_MS`."""
         oldest = next(iter(self._unanswered.values()), None)
         return oldest is not None and now - oldest.at_ms > ANSWER_TIMEOUT_MS
 
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -205,7 +205,7 @@
     north, south = new_coordinator(terms), new_coordinator(terms)
     north.take_report(("a", 1), report(60.0), 1.0)
     south.take_totals(NORTH, ("n", 1), north.totals(1.0), 1.0)
-    # Units before the first total are not counted: 1 of 61 units is.
+    # The south subtracts only what follows the north's first total: 1 of its 61 units.
     north.forget_idle(70_000.0)
     south.take_report(("b", 1), report(900.0), 70_000.0)
     north.take_report(("a", 1), report(61.0, 1.0), 70_000.0)
