--- a/sparline/quarantine/_crash_table.py
+++ b/sparline/quarantine/_crash_table.py
@@ -99,7 +99,7 @@
         return len(self.ended - self.cleared)
 
     @property
-    def is_suspect(self) -> bool:
+    def was_suspect(self) -> bool:
         """Return whether the request was ever a suspect; peers are told when it is cleared."""
         return len(self.ended) >= MIN_SUSPECT_ENDS
 
@@ -176,7 +176,7 @@
         record = self._records.get(digest)
         if record is None:
             return
-        if not record.is_suspect:
+        if not record.was_suspect:
             # It was never restricted, so peers need no update.
             del self._records[digest]
             return
@@ -242,7 +242,7 @@
         changed = [
             (digest, one)
             for digest, one in self._records.items()
-            if now - one.changed_at_ms <= (suspects_ms if one.is_suspect else singles_ms)
+            if now - one.changed_at_ms <= (suspects_ms if one.was_suspect else singles_ms)
         ]
         changed.sort(key=lambda pair: (len(pair[1].ended), pair[1].changed_at_ms), reverse=True)
         if len(changed) > most:
--- a/sparline/quarantine/_server_ends.py
+++ b/sparline/quarantine/_server_ends.py
@@ -94,9 +94,9 @@
 
     def reach(self, server_id: BackendServerId, address: Address) -> ProbeResult:
         """Probe whether a server that has just aborted an answer still accepts connections."""
-        last_reach, probed_at_ms = self._probe_results.get(server_id, (ProbeResult.UNKNOWN, 0.0))
-        if last_reach is ProbeResult.REFUSED and now_ms() - probed_at_ms < REFUSAL_TTL_MS:
-            return last_reach
+        last_result, probed_at_ms = self._probe_results.get(server_id, (ProbeResult.UNKNOWN, 0.0))
+        if last_result is ProbeResult.REFUSED and now_ms() - probed_at_ms < REFUSAL_TTL_MS:
+            return last_result
         running = self._probes.get(server_id)
         if running is not None:
             return running.get()
@@ -120,14 +120,14 @@
             self._callbacks.on_end(server_id, EndEvidence.REFUSED)
 
     def witnessed_end(
-        self, server_id: BackendServerId, witnesses: Sequence[OtherConnection]
+        self, server_id: BackendServerId, other_connections: Sequence[OtherConnection]
     ) -> BackendServerId | None:
         """Return an id of the terminated server run, None without evidence of a termination.
 
         The evidence is that there were other connections and all are lost. The server's own id may
         be reused: the supervisor that holds its port may restart it under that id.
         """
-        if not witnesses or not all(one.is_lost() for one in witnesses):
+        if not other_connections or not all(one.is_lost() for one in other_connections):
             return None
         self._callbacks.on_end(server_id, EndEvidence.WITNESSED)
         return BackendServerId(f"{server_id}/until-{now_ms():.0f}")
--- a/sparline/quarantine/tests/test_crash_table.py
+++ b/sparline/quarantine/tests/test_crash_table.py
@@ -22,7 +22,7 @@
     return time
 
 
-def ended(table: CrashTable, *servers: str, digest: RequestDigest = DIGEST) -> None:
+def record_ends(table: CrashTable, *servers: str, digest: RequestDigest = DIGEST) -> None:
     for server in servers:
         table.note_end(digest, server)
 
@@ -48,7 +48,7 @@
 )
 def test_verdict_depends_on_number_of_servers(clock, servers, verdict):
     table = CrashTable()
-    ended(table, *servers)
+    record_ends(table, *servers)
     assert table.verdict(DIGEST) is verdict
     assert table.verdict(OTHER_DIGEST) is Verdict.CLEAR
 
@@ -74,20 +74,20 @@
 
 def test_complete_answer_clears_earlier_ends(clock):
     table = CrashTable()
-    ended(table, "a", "b")
+    record_ends(table, "a", "b")
     table.note_complete_answer(DIGEST)
     assert table.verdict(DIGEST) is Verdict.CLEAR
     # It also clears ends that an uninformed peer still reports.
     table.take([fact("a", "b")])
     assert table.verdict(DIGEST) is Verdict.CLEAR
     clock[0] += _crash_table.ANSWERED_TTL_MS + 1
-    ended(table, "c")
+    record_ends(table, "c")
     assert table.ends(DIGEST) == 1
 
 
 def test_ends_cleared_by_a_peer_are_cleared(clock):
     table = CrashTable()
-    ended(table, "a", "b", "c")
+    record_ends(table, "a", "b", "c")
     assert table.take([fact("a", "b", "c", cleared=("a", "b", "c"))])
     assert table.verdict(DIGEST) is Verdict.CLEAR
 
@@ -96,7 +96,7 @@
     table = CrashTable()
     table.note_complete_answer(DIGEST)
     clock[0] += 100
-    ended(table, "a", "b", "c")
+    record_ends(table, "a", "b", "c")
     assert table.verdict(DIGEST) is Verdict.CLEAR
     # The change is passed to instances that have not answered it yet.
     (change,) = table.take([fact("a", "b", "c")])
@@ -108,25 +108,25 @@
     table = CrashTable()
     table.note_complete_answer(DIGEST)
     clock[0] += _crash_table.ANSWERED_TTL_MS
-    ended(table, "a", "b", "c")
+    record_ends(table, "a", "b", "c")
     assert table.verdict(DIGEST) is Verdict.QUARANTINED
 
 
 def test_quarantine_ends_as_suspect_and_doubles_with_each_further_end(clock):
     table = CrashTable()
-    ended(table, "a", "b", "c")
+    record_ends(table, "a", "b", "c")
     for number, times in enumerate((1, 2, 4)):
         clock[0] += times * _crash_table.QUARANTINE_MS - 1
         assert table.verdict(DIGEST) is Verdict.QUARANTINED
         clock[0] += 1
         assert table.verdict(DIGEST) is Verdict.SUSPECT
-        ended(table, f"d{number}")
+        record_ends(table, f"d{number}")
         assert table.verdict(DIGEST) is Verdict.QUARANTINED
 
 
 def test_repeated_fact_does_not_extend_quarantine(clock):
     table = CrashTable()
-    ended(table, "a", "b", "c")
+    record_ends(table, "a", "b", "c")
     clock[0] += _crash_table.QUARANTINE_MS / 2
     table.take([fact("a", "b", "c", age_ms=_crash_table.QUARANTINE_MS / 2)])
     assert table.quarantine_left_ms(DIGEST) == _crash_table.QUARANTINE_MS / 2
@@ -134,7 +134,7 @@
 
 def test_record_without_recent_end_is_dropped(clock):
     table = CrashTable()
-    ended(table, "a", "b")
+    record_ends(table, "a", "b")
     clock[0] += _crash_table.RECORD_TTL_MS
     table.forget_old()
     assert table.is_empty
@@ -143,10 +143,10 @@
 def test_many_single_ends_evict_no_suspect(clock):
     evicted = []
     table = CrashTable(on_evicted=lambda digest, ends: evicted.append((digest, ends)))
-    ended(table, "a", "b", "c")
+    record_ends(table, "a", "b", "c")
     for number in range(3 * _crash_table.MAX_RECORDS):
         clock[0] += 1
-        ended(table, "x", digest=RequestDigest(number.to_bytes(16, "big")))
+        record_ends(table, "x", digest=RequestDigest(number.to_bytes(16, "big")))
     assert table.verdict(DIGEST) is Verdict.QUARANTINED
     assert len(table._records) <= _crash_table.MAX_RECORDS
     assert evicted == []
@@ -158,15 +158,15 @@
     table = CrashTable(on_evicted=lambda digest, ends: evicted.append((digest, ends)))
     for number in range(21):
         clock[0] += 1
-        ended(table, "a", "b", digest=RequestDigest(number.to_bytes(16, "big")))
+        record_ends(table, "a", "b", digest=RequestDigest(number.to_bytes(16, "big")))
     assert evicted == [(RequestDigest(bytes(16)), 2), (RequestDigest(bytes(15) + b"\1"), 2)]
 
 
 def test_facts_are_ordered_by_ends_and_limited_by_age(clock):
     table = CrashTable()
-    ended(table, "a", "b", "c")
+    record_ends(table, "a", "b", "c")
     clock[0] += 100
-    ended(table, "a", digest=OTHER_DIGEST)
+    record_ends(table, "a", digest=OTHER_DIGEST)
     assert [one.digest for one in table.facts(5, 50, 500)] == [DIGEST, OTHER_DIGEST]
     assert [one.digest for one in table.facts(1, 50, 500)] == [DIGEST]
     clock[0] += 100
@@ -179,7 +179,7 @@
     table = CrashTable(
         lambda change: changes.append((change.ends_before, change.ends, change.learnt))
     )
-    ended(table, "a", "a", "b")
+    record_ends(table, "a", "a", "b")
     table.take([fact("a", "b", "c")])
     table.note_complete_answer(DIGEST)
     assert changes == [
--- a/sparline/quarantine/tests/test_server_ends.py
+++ b/sparline/quarantine/tests/test_server_ends.py
@@ -15,15 +15,15 @@
 
 SERVER = BackendServerId("e1")
 ADDRESS = ("127.0.0.1", 1)
-ONE = RequestDigest(b"1" * 16)
+DIGEST = RequestDigest(b"1" * 16)
 ABORTED_AT_MS = 1_000_000.0
 
 
 class FakeEnvironment:
     """Fake the network, the server's last activity and the log."""
 
-    def __init__(self, reach: ProbeResult) -> None:
-        self.reach = reach
+    def __init__(self, probe_result: ProbeResult) -> None:
+        self.probe_result = probe_result
         self.probes = 0
         self.heard_at_ms = 0.0
         self.unreachable: list[str] = []
@@ -32,14 +32,14 @@
     def probe(self, _address: object, _timeout_s: float) -> ProbeResult:
         self.probes += 1
         gevent.sleep(0.01)
-        return self.reach
+        return self.probe_result
 
     def callbacks(self) -> ServerEndCallbacks:
         return ServerEndCallbacks(
             self.probe,
             lambda _server_id: self.heard_at_ms,
             self.unreachable.append,
-            lambda server_id, sign: self.ends.append((server_id, sign)),
+            lambda server_id, evidence: self.ends.append((server_id, evidence)),
         )
 
 
@@ -50,7 +50,7 @@
     return time
 
 
-REACHES = [
+PROBES = [
     ("connection refused", ProbeResult.REFUSED, ["e1"], [("e1", EndEvidence.REFUSED)]),
     ("connection accepted", ProbeResult.OPEN, [], []),
     ("no response", ProbeResult.UNKNOWN, [], []),
@@ -58,53 +58,53 @@
 
 
 @pytest.mark.parametrize(
-    ("reach", "unreachable", "ends"),
-    [row[1:] for row in REACHES],
-    ids=[row[0] for row in REACHES],
+    ("probe_result", "unreachable", "ends"),
+    [row[1:] for row in PROBES],
+    ids=[row[0] for row in PROBES],
 )
-def test_probe_result_decides(clock, reach, unreachable, ends):
-    environment = FakeEnvironment(reach)
-    server_ends = ServerEndDetector(environment.callbacks())
-    assert server_ends.reach(SERVER, ADDRESS) is reach
+def test_refused_probe_reports_a_termination(clock, probe_result, unreachable, ends):
+    environment = FakeEnvironment(probe_result)
+    detector = ServerEndDetector(environment.callbacks())
+    assert detector.reach(SERVER, ADDRESS) is probe_result
     assert environment.unreachable == unreachable
     assert environment.ends == ends
 
 
 def test_concurrent_callers_share_one_probe(clock):
     environment = FakeEnvironment(ProbeResult.REFUSED)
-    server_ends = ServerEndDetector(environment.callbacks())
-    callers = [gevent.spawn(server_ends.reach, SERVER, ADDRESS) for _ in range(30)]
+    detector = ServerEndDetector(environment.callbacks())
+    callers = [gevent.spawn(detector.reach, SERVER, ADDRESS) for _ in range(30)]
     gevent.joinall(callers, timeout=20)
     assert [one.value for one in callers] == [ProbeResult.REFUSED] * 30
-    assert server_ends.reach(SERVER, ADDRESS) is ProbeResult.REFUSED
+    assert detector.reach(SERVER, ADDRESS) is ProbeResult.REFUSED
     assert environment.probes == 1
     assert len(environment.ends) == 1
 
 
 def test_accepted_probe_is_not_reused(clock):
     environment = FakeEnvironment(ProbeResult.OPEN)
-    server_ends = ServerEndDetector(environment.callbacks())
-    server_ends.reach(SERVER, ADDRESS)
-    environment.reach = ProbeResult.REFUSED
-    assert server_ends.reach(SERVER, ADDRESS) is ProbeResult.REFUSED
+    detector = ServerEndDetector(environment.callbacks())
+    detector.reach(SERVER, ADDRESS)
+    environment.probe_result = ProbeResult.REFUSED
+    assert detector.reach(SERVER, ADDRESS) is ProbeResult.REFUSED
 
 
 def test_waiters_are_released_when_the_probing_greenlet_is_killed(clock):
     environment = FakeEnvironment(ProbeResult.REFUSED)
-    server_ends = ServerEndDetector(environment.callbacks())
-    prober = gevent.spawn(server_ends.reach, SERVER, ADDRESS)
+    detector = ServerEndDetector(environment.callbacks())
+    prober = gevent.spawn(detector.reach, SERVER, ADDRESS)
     gevent.sleep(0)
-    waiting = gevent.spawn(server_ends.reach, SERVER, ADDRESS)
+    waiting = gevent.spawn(detector.reach, SERVER, ADDRESS)
     gevent.sleep(0)
     prober.kill()
     assert waiting.get(timeout=20) is ProbeResult.UNKNOWN
 
 
 REMOVALS = [
-    ("removed soon, never heard again", 3_000.0, 0.0, [ONE]),
+    ("removed soon, never heard again", 3_000.0, 0.0, [DIGEST]),
     ("removed long after", _server_ends.MAX_REMOVAL_DELAY_MS + 1, 0.0, []),
     ("heard after the abort", 3_000.0, ABORTED_AT_MS + 1, []),
-    ("heard before the abort", 3_000.0, ABORTED_AT_MS - 1, [ONE]),
+    ("heard before the abort", 3_000.0, ABORTED_AT_MS - 1, [DIGEST]),
 ]
 
 
@@ -115,25 +115,25 @@
 )
 def test_store_removal_explains_aborted_answers(clock, after_ms, heard_at_ms, ended):
     environment = FakeEnvironment(ProbeResult.UNKNOWN)
-    server_ends = ServerEndDetector(environment.callbacks())
-    server_ends.note_aborted_answer(ONE, SERVER)
+    detector = ServerEndDetector(environment.callbacks())
+    detector.note_aborted_answer(DIGEST, SERVER)
     clock[0] += after_ms
     environment.heard_at_ms = heard_at_ms
-    assert server_ends.note_removed(BackendServerId("another")) == []
-    assert server_ends.note_removed(SERVER) == ended
-    assert server_ends.note_removed(SERVER) == []
+    assert detector.note_removed(BackendServerId("another")) == []
+    assert detector.note_removed(SERVER) == ended
+    assert detector.note_removed(SERVER) == []
     assert environment.ends == ([("e1", EndEvidence.GONE)] if ended else [])
 
 
 def test_unexplained_aborts_are_bounded(clock):
-    server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.UNKNOWN).callbacks())
+    detector = ServerEndDetector(FakeEnvironment(ProbeResult.UNKNOWN).callbacks())
     for number in range(2 * _server_ends.MAX_UNEXPLAINED):
         clock[0] += 0.001
-        server_ends.note_aborted_answer(ONE, BackendServerId(f"s{number}"))
-    assert len(server_ends._unexplained) == _server_ends.MAX_UNEXPLAINED
+        detector.note_aborted_answer(DIGEST, BackendServerId(f"s{number}"))
+    assert len(detector._unexplained) == _server_ends.MAX_UNEXPLAINED
 
 
-class Connection:
+class FakeConnection:
     """Fake another connection to a server."""
 
     def __init__(self, lost: bool) -> None:
@@ -143,7 +143,7 @@
         return self.lost
 
 
-WITNESSES = [
+CONNECTIONS = [
     ("no connection", (), False),
     ("single connection lost", (True,), True),
     ("all connections lost", (True, True, True), True),
@@ -153,38 +153,38 @@
 
 
 @pytest.mark.parametrize(
-    ("lost", "has_ended"), [row[1:] for row in WITNESSES], ids=[row[0] for row in WITNESSES]
+    ("lost", "has_ended"), [row[1:] for row in CONNECTIONS], ids=[row[0] for row in CONNECTIONS]
 )
 def test_server_that_loses_every_connection_has_ended(clock, lost, has_ended):
     environment = FakeEnvironment(ProbeResult.OPEN)
-    server_ends = ServerEndDetector(environment.callbacks())
-    found = server_ends.witnessed_end(SERVER, [Connection(one) for one in lost])
+    detector = ServerEndDetector(environment.callbacks())
+    found = detector.witnessed_end(SERVER, [FakeConnection(one) for one in lost])
     assert (found is not None) is has_ended
     assert environment.ends == ([(SERVER, EndEvidence.WITNESSED)] if has_ended else [])
 
 
 def test_two_ends_under_one_server_id_are_distinct(clock):
-    server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).callbacks())
-    first = server_ends.witnessed_end(SERVER, [Connection(True)])
+    detector = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).callbacks())
+    first = detector.witnessed_end(SERVER, [FakeConnection(True)])
     clock[0] += 200
-    assert server_ends.witnessed_end(SERVER, [Connection(True)]) != first
+    assert detector.witnessed_end(SERVER, [FakeConnection(True)]) != first
 
 
 def test_request_is_watched_after_an_unexplained_abort(clock):
-    server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).callbacks())
-    assert not server_ends.has_watched_requests
-    server_ends.note_aborted_answer(ONE, SERVER)
-    assert server_ends.has_watched_requests
-    assert server_ends.has_unexplained_abort(ONE)
-    assert not server_ends.has_unexplained_abort(RequestDigest(b"2" * 16))
+    detector = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).callbacks())
+    assert not detector.has_watched_requests
+    detector.note_aborted_answer(DIGEST, SERVER)
+    assert detector.has_watched_requests
+    assert detector.has_unexplained_abort(DIGEST)
+    assert not detector.has_unexplained_abort(RequestDigest(b"2" * 16))
     clock[0] += _server_ends.WATCH_MS + 1
-    assert not server_ends.has_unexplained_abort(ONE)
-    assert not server_ends.has_watched_requests
+    assert not detector.has_unexplained_abort(DIGEST)
+    assert not detector.has_watched_requests
 
 
 def test_watched_requests_are_bounded(clock):
-    server_ends = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).callbacks())
+    detector = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).callbacks())
     for number in range(2 * _server_ends.MAX_WATCHED):
-        server_ends.note_aborted_answer(RequestDigest(b"%d" % number), SERVER)
-    assert not server_ends.has_unexplained_abort(RequestDigest(b"0"))
-    assert len(server_ends._watched) == _server_ends.MAX_WATCHED
+        detector.note_aborted_answer(RequestDigest(b"%d" % number), SERVER)
+    assert not detector.has_unexplained_abort(RequestDigest(b"0"))
+    assert len(detector._watched) == _server_ends.MAX_WATCHED
--- a/sparline/quotas/_account.py
+++ b/sparline/quotas/_account.py
@@ -53,17 +53,17 @@
     def __init__(
         self,
         region: RegionName,
-        terms_of: Callable[[int], QuotaParameters | None],
+        parameters_of: Callable[[int], QuotaParameters | None],
         region_shares: Callable[[], dict[RegionName, float]],
     ) -> None:
         """Start without any reports.
 
-        `terms_of` returns the refill parameters of a quota by its key, None for an unknown key;
-        `region_shares` returns the share of each region in a quota, in proportion to the
+        `parameters_of` returns the refill parameters of a quota by its key, None for an unknown
+        key; `region_shares` returns the share of each region in a quota, in proportion to the
         instances that may admit requests there.
         """
         self._region = region
-        self._terms_of = terms_of
+        self._parameters_of = parameters_of
         self._region_shares = region_shares
         self._states: dict[int, _QuotaState] = {}
         # Other coordinators still remember the totals of dropped quotas, and would count a total
@@ -88,11 +88,11 @@
         silent = self._silent_shares(now)
         left: dict[int, float] = {}
         for use in report.uses:
-            terms = self._terms_of(use.key)
-            if terms is None:
+            parameters = self._parameters_of(use.key)
+            if parameters is None:
                 continue
             known = use.key in self._states
-            state = self._ensure_state(use.key, terms, use.level, now)
+            state = self._ensure_state(use.key, parameters, use.level, now)
             state.level.at(now, silent)
             units = use.total - seen_totals[use.key] if use.key in seen_totals else use.unsaid
             seen_totals[use.key] = use.total
@@ -115,19 +115,19 @@
         )
 
     def _ensure_state(
-        self, key: int, terms: QuotaParameters, reported_level: float | None, now: float
+        self, key: int, parameters: QuotaParameters, reported_level: float | None, now: float
     ) -> _QuotaState:
         state = self._states.get(key)
         if state is None:
             # The previous coordinator is gone; instances still hold the level that it last
             # reported.
-            first = terms.first * self._region_shares().get(self._region, 1.0)
-            level = first if reported_level is None else min(reported_level, terms.most)
+            first = parameters.first * self._region_shares().get(self._region, 1.0)
+            level = first if reported_level is None else min(reported_level, parameters.most)
             total = self._dropped_totals.get(key, 0.0)
             state = self._states[key] = _QuotaState(
-                FleetLevel(terms, level, now), now, total, total
+                FleetLevel(parameters, level, now), now, total, total
             )
-        state.level.change(terms)
+        state.level.change(parameters)
         return state
 
     def _record_use(self, state: _QuotaState, units: float, now: float) -> None:
@@ -151,19 +151,23 @@
         return [RegionTotal(key, total) for _, key, total in recent[:MAX_TOTALS]]
 
     def take_totals(
-        self, region: RegionName, holder: tuple[str, int], totals: list[RegionTotal], now: float
+        self,
+        region: RegionName,
+        coordinator: tuple[str, int],
+        totals: list[RegionTotal],
+        now: float,
     ) -> None:
-        """Apply the totals of another region; `holder` identifies one run of its coordinator."""
+        """Apply the totals of another region; `coordinator` identifies one run of its sender."""
         silent = self._silent_shares(now)
-        seen_totals = self._coordinator_totals.setdefault(holder, {})
+        seen_totals = self._coordinator_totals.setdefault(coordinator, {})
         used: dict[int, float] = {}
         for one in totals:
             # The first total of a coordinator includes units admitted before it was known here.
             used[one.key] = one.total - seen_totals.get(one.key, one.total)
             seen_totals[one.key] = one.total
-            terms = self._terms_of(one.key)
-            if terms is not None and one.key not in self._states:
-                self._ensure_state(one.key, terms, None, now)
+            parameters = self._parameters_of(one.key)
+            if parameters is not None and one.key not in self._states:
+                self._ensure_state(one.key, parameters, None, now)
         for key, state in self._states.items():
             state.level.at(now, silent)
             state.level.apply_update(region, used.get(key, 0.0), now)
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -88,7 +88,7 @@
     """Hold this instance's state of one organisation's quota."""
 
     admitted: _AdmittedUnits  # admitted units
-    terms: QuotaParameters  # refill parameters
+    parameters: QuotaParameters  # refill parameters
     level: float  # remaining units, negative when in debt
     at_ms: float  # time of `level`
     requested_at_ms: float  # time of the last request
@@ -131,13 +131,13 @@
         if organisation.quota is None:
             return None
         key = quota_key(organisation.id)
-        terms = make_quota_parameters(organisation.quota, self._tolerance)
+        parameters = make_quota_parameters(organisation.quota, self._tolerance)
         state = self._states.get(key)
         if state is None:
-            initial_level = terms.first / max(instances, 1)
+            initial_level = parameters.first / max(instances, 1)
             admitted = self._admitted.setdefault(key, _AdmittedUnits())
-            state = self._states[key] = _QuotaState(admitted, terms, initial_level, now, now)
-        state.terms = terms
+            state = self._states[key] = _QuotaState(admitted, parameters, initial_level, now, now)
+        state.parameters = parameters
         state.requested_at_ms = now
         self._advance(state, instances, now)
         if state.level <= 0:
@@ -156,18 +156,18 @@
         """Charge more for a request that ran again, or return units that did not run (negative)."""
         state = self._states.get(quota_key(organisation))
         if state is not None:
-            state.level = min(state.level - units, state.terms.most)
+            state.level = min(state.level - units, state.parameters.most)
             state.admitted.total += units
 
     def _advance(self, state: _QuotaState, instances: int, now: float) -> None:
         """Advance a level to `now`; without a current answer only this instance's share is used."""
-        if state.has_answer and self._is_answer_stale(state, now):
+        if state.has_answer and self._is_answer_expired(state, now):
             state.has_answer = False
-            state.level = min(state.level, state.terms.most / max(instances, 1))
+            state.level = min(state.level, state.parameters.most / max(instances, 1))
         sharers = max(instances, 1)
-        most = state.terms.most if state.has_answer else state.terms.most / sharers
+        most = state.parameters.most if state.has_answer else state.parameters.most / sharers
         fresh_ms, stale_ms = self._elapsed_ms(state, now)
-        gained = state.terms.per_s * (fresh_ms + stale_ms / sharers) / MS_PER_S
+        gained = state.parameters.per_s * (fresh_ms + stale_ms / sharers) / MS_PER_S
         state.level = min(state.level + gained, max(most, state.level))
         state.at_ms = max(now, state.at_ms)
 
@@ -179,29 +179,32 @@
         fresh_ms = min(max(state.answered_at_ms + FRESH_ANSWER_MS - state.at_ms, 0.0), elapsed_ms)
         return fresh_ms, elapsed_ms - fresh_ms
 
-    def _is_answer_stale(self, state: _QuotaState, now: float) -> bool:
+    def _is_answer_expired(self, state: _QuotaState, now: float) -> bool:
         if now - state.answered_at_ms > MAX_ANSWER_AGE_MS:
             return True
         return self.is_unanswered(now)
 
     def _retry_delay_ms(self, state: _QuotaState, instances: int) -> float:
-        per_s = state.terms.per_s / (1 if state.has_answer else max(instances, 1))
+        per_s = state.parameters.per_s / (1 if state.has_answer else max(instances, 1))
         delay_ms = (1.0 - state.level) / per_s * MS_PER_S
         return min(
             max(delay_ms, MIN_RETRY_DELAY_MS) * self._rng.uniform(*RETRY_JITTER), MAX_RETRY_DELAY_MS
         )
 
-    def is_report_due(self, siblings: int, now: float) -> bool:
-        """Return whether to report now; `siblings` is the number of instances in the region."""
+    def is_report_due(self, region_instances: int, now: float) -> bool:
+        """Return whether to report now; `region_instances` counts the instances of the region."""
         since_ms = now - self._last_report_at_ms
-        if since_ms < max(MIN_REPORT_INTERVAL_MS, REPORT_INTERVAL_PER_INSTANCE_MS * siblings):
+        if since_ms < max(
+            MIN_REPORT_INTERVAL_MS, REPORT_INTERVAL_PER_INSTANCE_MS * region_instances
+        ):
             return False
         if self._unanswered and since_ms >= RESEND_AFTER_MS:
             # The last report or its answer may have been lost.
             return True
         is_within_interval = since_ms < REPORT_INTERVAL_MS
         return any(
-            _affects_others(one, siblings, is_within_interval) for one in self._states.values()
+            _affects_others(one, region_instances, is_within_interval)
+            for one in self._states.values()
         )
 
     def report(self, now: float) -> UsageReport:
@@ -255,7 +258,7 @@
                 continue
             state.admitted.acknowledged = sent.totals[key]
             state.level = min(
-                level - (state.admitted.total - state.admitted.acknowledged), state.terms.most
+                level - (state.admitted.total - state.admitted.acknowledged), state.parameters.most
             )
             state.answered_level = state.level
             state.at_ms = now
@@ -282,11 +285,11 @@
 
 def _is_in_debt(state: _QuotaState, now: float) -> bool:
     """Return whether a quota is still in debt, assuming that nobody else has used it since."""
-    gained = state.terms.per_s * max(now - state.at_ms, 0.0) / MS_PER_S
+    gained = state.parameters.per_s * max(now - state.at_ms, 0.0) / MS_PER_S
     return state.level + gained < 0
 
 
-def _affects_others(state: _QuotaState, siblings: int, is_within_interval: bool) -> bool:
+def _affects_others(state: _QuotaState, region_instances: int, is_within_interval: bool) -> bool:
     """Return whether the units admitted since the last report affect what others may admit."""
     if state.has_refused:
         return True
@@ -294,7 +297,7 @@
         return False
     if not is_within_interval or not state.has_answer:
         return True
-    # This way all siblings together spend at most half of the remaining units before reporting.
+    # This way all instances together spend at most half of the remaining units before reporting.
     return state.admitted.total - state.admitted.reported > max(state.level, 0.0) / (
-        2 * max(siblings, 1)
+        2 * max(region_instances, 1)
     )
--- a/sparline/quotas/_level.py
+++ b/sparline/quotas/_level.py
@@ -39,21 +39,21 @@
     `at` advances the level to the given time; call it before `use` and `apply_update`.
     """
 
-    def __init__(self, terms: QuotaParameters, level: float, now: float) -> None:
+    def __init__(self, parameters: QuotaParameters, level: float, now: float) -> None:
         """Start from the given level at the time `now`."""
-        self._terms = terms
+        self._parameters = parameters
         self._level = level
         self._at_ms = now
         self._remote_uses: dict[RegionName, _RemoteUse] = {}
 
-    def change(self, terms: QuotaParameters) -> None:
+    def change(self, parameters: QuotaParameters) -> None:
         """Switch to other refill parameters; units above the new upper bound are discarded."""
-        self._terms = terms
-        self._level = min(self._level, terms.most)
+        self._parameters = parameters
+        self._level = min(self._level, parameters.most)
 
     def use(self, units: float) -> None:
         """Subtract units admitted in the own region; negative units are returned to the quota."""
-        self._level = min(self._level - units, self._terms.most)
+        self._level = min(self._level - units, self._parameters.most)
 
     def at(self, now: float, silent_shares: dict[RegionName, float]) -> float:
         """Advance the level to `now` and return it.
@@ -67,8 +67,8 @@
         used = 0.0
         for region in self._remote_uses.keys() | silent_shares.keys():
             used += self._assume_use(region, silent_shares.get(region), elapsed_s)
-        gained = self._terms.per_s * elapsed_s
-        self._level = min(self._level + gained, self._terms.most) - used
+        gained = self._parameters.per_s * elapsed_s
+        self._level = min(self._level + gained, self._parameters.most) - used
         return self._level
 
     def _assume_use(
@@ -77,7 +77,7 @@
         """Return the units a region is assumed to have used in the elapsed time."""
         remote = self._remote_uses.setdefault(region, _RemoteUse())
         share = 1.0 if silent_share is None else silent_share
-        rate_per_s = share * self._terms.per_s
+        rate_per_s = share * self._parameters.per_s
         if silent_share is None:
             rate_per_s = min(remote.rate_per_s(), rate_per_s)
         used = rate_per_s * elapsed_s
@@ -91,7 +91,7 @@
     def apply_update(self, region: RegionName, units: float, now: float) -> None:
         """Replace the assumed use of a region by the units it reports since its last update."""
         remote = self._remote_uses.setdefault(region, _RemoteUse())
-        self._level = min(self._level + remote.assumed_units - units, self._terms.most)
+        self._level = min(self._level + remote.assumed_units - units, self._parameters.most)
         remote.assumed_units = 0.0
         remote.is_silent = False
         remote.level_at_update = self._level
--- a/sparline/quotas/_terms.py
+++ b/sparline/quotas/_terms.py
@@ -8,7 +8,7 @@
 
 # Fraction of the operators' tolerance over a quota that is added to its burst, so that callers at
 # their limit lose nothing to late updates. The rest covers what is admitted before updates arrive.
-TOLERANCE_USED = 0.1
+USED_TOLERANCE_FRACTION = 0.1
 # Fraction of the burst that is available initially when prior use is unknown and there is no
 # tolerance, so that the first request is admitted.
 INITIAL_FRACTION = 0.1
@@ -45,7 +45,7 @@
 
     The initial level stays within the tolerance, so that a restart doesn't grant a second burst.
     """
-    tolerated_units = TOLERANCE_USED * tolerance.room(quota)
+    tolerated_units = USED_TOLERANCE_FRACTION * tolerance.room(quota)
     return QuotaParameters(
         quota.per_s,
         quota.burst + tolerated_units,
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -123,8 +123,8 @@
     assert one.left(ORGANISATION_ID, 50_000.0).units <= left
 
 
-def new_coordinator(terms: QuotaParameters | None = None) -> QuotaCoordinator:
-    found = terms or make_quota_parameters(QUOTA, TOLERANCE)
+def new_coordinator(parameters: QuotaParameters | None = None) -> QuotaCoordinator:
+    found = parameters or make_quota_parameters(QUOTA, TOLERANCE)
     return QuotaCoordinator(
         NORTH, lambda key: found if key == KEY else None, lambda: {NORTH: 0.5, SOUTH: 0.5}
     )
@@ -167,8 +167,8 @@
 
 
 def test_partitioned_regions_together_stay_within_the_quota():
-    terms = QuotaParameters(PER_S, 1_000.0, 1_000.0)
-    sides = [FleetLevel(terms, 1_000.0, 0.0) for _ in range(2)]
+    parameters = QuotaParameters(PER_S, 1_000.0, 1_000.0)
+    sides = [FleetLevel(parameters, 1_000.0, 0.0) for _ in range(2)]
     for one, other in zip(sides, (SOUTH, NORTH), strict=True):
         one.apply_update(other, 0.0, 0.0)
     used = 0.0
@@ -201,8 +201,8 @@
 
 
 def test_idle_region_regains_no_units_when_its_state_is_dropped():
-    terms = QuotaParameters(0.0, 1_000.0, 2_000.0)
-    north, south = new_coordinator(terms), new_coordinator(terms)
+    parameters = QuotaParameters(0.0, 1_000.0, 2_000.0)
+    north, south = new_coordinator(parameters), new_coordinator(parameters)
     north.take_report(("a", 1), report(60.0), 1.0)
     south.take_totals(NORTH, ("n", 1), north.totals(1.0), 1.0)
     # The south subtracts only what follows the north's first total: 1 of its 61 units.
