--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -245,7 +245,7 @@
         oldest = next(iter(self._unanswered.values()), None)
         return oldest is not None and now - oldest.at_ms > ANSWER_TIMEOUT_MS
 
-    def apply_update(self, sequence: int, levels: dict[int, float], now: float) -> None:
+    def apply_answer(self, sequence: int, levels: dict[int, float], now: float) -> None:
         """Apply the coordinator's answer to a report, unless a newer one has been applied."""
         sent = self._unanswered.get(sequence)
         if sent is None:
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -75,7 +75,7 @@
     report = one.report(0.0)
     assert report.uses == [QuotaUsage(KEY, 10.0, 10.0, None)]
     one.admit(ORGANISATION, 5.0, 1, 0.0)
-    one.apply_update(report.sequence, {KEY: 500.0}, 1.0)
+    one.apply_answer(report.sequence, {KEY: 500.0}, 1.0)
     assert one.left(ORGANISATION_ID, 1.0).units == 495.0
     assert one.left(ORGANISATION_ID, 1.0).is_fleet_wide
     assert one.report(2.0).uses == [QuotaUsage(KEY, 15.0, 5.0, 495.0)]
@@ -87,15 +87,15 @@
     first = one.report(0.0)
     one.admit(ORGANISATION, 10.0, 1, 0.0)
     second = one.report(1.0)
-    one.apply_update(second.sequence, {KEY: 300.0}, 2.0)
-    one.apply_update(first.sequence, {KEY: 900.0}, 3.0)
+    one.apply_answer(second.sequence, {KEY: 300.0}, 2.0)
+    one.apply_answer(first.sequence, {KEY: 900.0}, 3.0)
     assert one.left(ORGANISATION_ID, 3.0).units == 300.0
 
 
 def test_unanswered_report_falls_back_to_own_share():
     one = new_limiter()
     one.admit(ORGANISATION, 10.0, 10, 0.0)
-    one.apply_update(one.report(0.0).sequence, {KEY: 1_000.0}, 1.0)
+    one.apply_answer(one.report(0.0).sequence, {KEY: 1_000.0}, 1.0)
     one.admit(ORGANISATION, 10.0, 10, 10.0)
     one.report(20.0)
     one.admit(ORGANISATION, 1.0, 10, 800.0)
