--- a/sparline/quotas/_terms.py
+++ b/sparline/quotas/_terms.py
@@ -23,7 +23,7 @@
     excess: float = 0.0  # tolerated excess, as a fraction of what a quota allows in a window
     slack: float = 0.0  # tolerated units in addition to that
 
-    def room(self, quota: Quota) -> float:
+    def tolerated_units(self, quota: Quota) -> float:
         """Return the units tolerated above a quota in a window."""
         return self.excess * (quota.per_s * self.window_s + quota.burst) + self.slack
 
@@ -45,11 +45,11 @@
 
     The initial level stays within the tolerance, so that a restart doesn't grant a second burst.
     """
-    tolerated_units = USED_TOLERANCE_FRACTION * tolerance.room(quota)
+    extra_units = USED_TOLERANCE_FRACTION * tolerance.tolerated_units(quota)
     return QuotaParameters(
         quota.per_s,
-        quota.burst + tolerated_units,
-        max(tolerated_units, INITIAL_FRACTION * quota.burst),
+        quota.burst + extra_units,
+        max(extra_units, INITIAL_FRACTION * quota.burst),
     )
 
 
