--- a/sparline/quotas/_account.py
+++ b/sparline/quotas/_account.py
@@ -93,14 +93,14 @@
                 continue
             known = use.key in self._states
             state = self._ensure_state(use.key, parameters, use.level, now)
-            state.level.at(now, silent)
+            state.level.advance_to(now, silent)
             units = use.total - seen_totals[use.key] if use.key in seen_totals else use.unsaid
             seen_totals[use.key] = use.total
             if known or use.level is None:
                 # A level taken over from the instance's report already includes its own use.
                 state.level.use(units)
             self._record_use(state, units, now)
-            left[use.key] = state.level.at(now, silent)
+            left[use.key] = state.level.advance_to(now, silent)
             regions = len(silent) + len(self._region_heard_at_ms) + 1
             if state.total - state.sent_total > max(left[use.key], 0.0) / (2 * regions):
                 self._is_send_urgent = True
@@ -169,7 +169,7 @@
             if parameters is not None and one.key not in self._states:
                 self._ensure_state(one.key, parameters, None, now)
         for key, state in self._states.items():
-            state.level.at(now, silent)
+            state.level.advance_to(now, silent)
             state.level.apply_update(region, used.get(key, 0.0), now)
             if used.get(key):
                 state.used_at_ms = now
@@ -190,7 +190,7 @@
         idle = [
             key
             for key, one in self._states.items()
-            if now - one.used_at_ms >= IDLE_MS and one.level.at(now, silent) > 0
+            if now - one.used_at_ms >= IDLE_MS and one.level.advance_to(now, silent) > 0
         ]
         for key in idle:
             self._dropped_totals[key] = self._states.pop(key).total
--- a/sparline/quotas/_level.py
+++ b/sparline/quotas/_level.py
@@ -36,7 +36,7 @@
 class FleetLevel:
     """Estimate the remaining level of one quota across all regions.
 
-    `at` advances the level to the given time; call it before `use` and `apply_update`.
+    Call `advance_to` before `use` and `apply_update`.
     """
 
     def __init__(self, parameters: QuotaParameters, level: float, now: float) -> None:
@@ -55,7 +55,7 @@
         """Subtract units admitted in the own region; negative units are returned to the quota."""
         self._level = min(self._level - units, self._parameters.most)
 
-    def at(self, now: float, silent_shares: dict[RegionName, float]) -> float:
+    def advance_to(self, now: float, silent_shares: dict[RegionName, float]) -> float:
         """Advance the level to `now` and return it.
 
         `silent_shares` maps each silent region to its share of the quota.
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -174,7 +174,7 @@
     used = 0.0
     for ms in range(10, 6_010, 10):
         for one, other in zip(sides, (SOUTH, NORTH), strict=True):
-            if one.at(float(ms), {other: 0.5}) > 0:
+            if one.advance_to(float(ms), {other: 0.5}) > 0:
                 one.use(20.0)
                 used += 20.0
     assert used <= 1_000.0 + 6 * PER_S + 2 * 20.0
@@ -183,9 +183,9 @@
 def test_update_after_silence_replaces_assumed_use():
     one = FleetLevel(QuotaParameters(PER_S, 1_000.0, 1_000.0), 500.0, 0.0)
     one.apply_update(SOUTH, 0.0, 0.0)
-    one.at(1_000.0, {SOUTH: 0.5})
+    one.advance_to(1_000.0, {SOUTH: 0.5})
     one.apply_update(SOUTH, 0.0, 1_000.0)
-    assert one.at(1_000.0, {}) == pytest.approx(1_000.0)
+    assert one.advance_to(1_000.0, {}) == pytest.approx(1_000.0)
 
 
 def test_idle_organisation_regains_no_units_when_its_state_is_dropped():
