--- a/sparline/quotas/_account.py
+++ b/sparline/quotas/_account.py
@@ -98,7 +98,7 @@
             seen_totals[use.key] = use.total
             if known or use.level is None:
                 # A level taken over from the instance's report already includes its own use.
-                state.level.use(units)
+                state.level.subtract(units)
             self._record_use(state, units, now)
             left[use.key] = state.level.advance_to(now, silent)
             regions = len(silent) + len(self._region_heard_at_ms) + 1
--- a/sparline/quotas/_level.py
+++ b/sparline/quotas/_level.py
@@ -36,7 +36,7 @@
 class FleetLevel:
     """Estimate the remaining level of one quota across all regions.
 
-    Call `advance_to` before `use` and `apply_update`.
+    Call `advance_to` before `subtract` and `apply_update`.
     """
 
     def __init__(self, parameters: QuotaParameters, level: float, now: float) -> None:
@@ -51,7 +51,7 @@
         self._parameters = parameters
         self._level = min(self._level, parameters.most)
 
-    def use(self, units: float) -> None:
+    def subtract(self, units: float) -> None:
         """Subtract units admitted in the own region; negative units are returned to the quota."""
         self._level = min(self._level - units, self._parameters.most)
 
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -175,7 +175,7 @@
     for ms in range(10, 6_010, 10):
         for one, other in zip(sides, (SOUTH, NORTH), strict=True):
             if one.advance_to(float(ms), {other: 0.5}) > 0:
-                one.use(20.0)
+                one.subtract(20.0)
                 used += 20.0
     assert used <= 1_000.0 + 6 * PER_S + 2 * 20.0
 
