--- a/sparline/quotas/_account.py
+++ b/sparline/quotas/_account.py
@@ -127,7 +127,7 @@
             state = self._states[key] = _QuotaState(
                 FleetLevel(parameters, level, now), now, total, total
             )
-        state.level.change(parameters)
+        state.level.set_parameters(parameters)
         return state
 
     def _record_use(self, state: _QuotaState, units: float, now: float) -> None:
--- a/sparline/quotas/_level.py
+++ b/sparline/quotas/_level.py
@@ -46,7 +46,7 @@
         self._at_ms = now
         self._remote_uses: dict[RegionName, _RemoteUse] = {}
 
-    def change(self, parameters: QuotaParameters) -> None:
+    def set_parameters(self, parameters: QuotaParameters) -> None:
         """Switch to other refill parameters; units above the new upper bound are discarded."""
         self._parameters = parameters
         self._level = min(self._level, parameters.most)
