--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -117,7 +117,7 @@
         if self._tools.has_ended(self._server_id):
             return self._server_id
         address = self._placement.server.address
-        if self._tools.ends.reach(self._server_id, address) is ProbeResult.REFUSED:
+        if self._tools.ends.probe(self._server_id, address) is ProbeResult.REFUSED:
             return self._server_id
         return self._tools.ends.witnessed_end(self._server_id, self._witnesses)
 
--- a/sparline/quarantine/_server_ends.py
+++ b/sparline/quarantine/_server_ends.py
@@ -92,7 +92,7 @@
         self._unexplained: OrderedDict[AbortedAnswer, None] = OrderedDict()
         self._watched: OrderedDict[RequestDigest, float] = OrderedDict()  # time of the newest abort
 
-    def reach(self, server_id: BackendServerId, address: Address) -> ProbeResult:
+    def probe(self, server_id: BackendServerId, address: Address) -> ProbeResult:
         """Probe whether a server that has just aborted an answer still accepts connections."""
         last_result, probed_at_ms = self._probe_results.get(server_id, (ProbeResult.UNKNOWN, 0.0))
         if last_result is ProbeResult.REFUSED and now_ms() - probed_at_ms < REFUSAL_TTL_MS:
--- a/sparline/quarantine/tests/test_server_ends.py
+++ b/sparline/quarantine/tests/test_server_ends.py
@@ -65,7 +65,7 @@
 def test_refused_probe_reports_a_termination(clock, probe_result, unreachable, ends):
     environment = FakeEnvironment(probe_result)
     detector = ServerEndDetector(environment.callbacks())
-    assert detector.reach(SERVER, ADDRESS) is probe_result
+    assert detector.probe(SERVER, ADDRESS) is probe_result
     assert environment.unreachable == unreachable
     assert environment.ends == ends
 
@@ -73,10 +73,10 @@
 def test_concurrent_callers_share_one_probe(clock):
     environment = FakeEnvironment(ProbeResult.REFUSED)
     detector = ServerEndDetector(environment.callbacks())
-    callers = [gevent.spawn(detector.reach, SERVER, ADDRESS) for _ in range(30)]
+    callers = [gevent.spawn(detector.probe, SERVER, ADDRESS) for _ in range(30)]
     gevent.joinall(callers, timeout=20)
     assert [one.value for one in callers] == [ProbeResult.REFUSED] * 30
-    assert detector.reach(SERVER, ADDRESS) is ProbeResult.REFUSED
+    assert detector.probe(SERVER, ADDRESS) is ProbeResult.REFUSED
     assert environment.probes == 1
     assert len(environment.ends) == 1
 
@@ -84,17 +84,17 @@
 def test_accepted_probe_is_not_reused(clock):
     environment = FakeEnvironment(ProbeResult.OPEN)
     detector = ServerEndDetector(environment.callbacks())
-    detector.reach(SERVER, ADDRESS)
+    detector.probe(SERVER, ADDRESS)
     environment.probe_result = ProbeResult.REFUSED
-    assert detector.reach(SERVER, ADDRESS) is ProbeResult.REFUSED
+    assert detector.probe(SERVER, ADDRESS) is ProbeResult.REFUSED
 
 
 def test_waiters_are_released_when_the_probing_greenlet_is_killed(clock):
     environment = FakeEnvironment(ProbeResult.REFUSED)
     detector = ServerEndDetector(environment.callbacks())
-    prober = gevent.spawn(detector.reach, SERVER, ADDRESS)
+    prober = gevent.spawn(detector.probe, SERVER, ADDRESS)
     gevent.sleep(0)
-    waiting = gevent.spawn(detector.reach, SERVER, ADDRESS)
+    waiting = gevent.spawn(detector.probe, SERVER, ADDRESS)
     gevent.sleep(0)
     prober.kill()
     assert waiting.get(timeout=20) is ProbeResult.UNKNOWN
