--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -156,16 +156,18 @@
         """Charge more for a request that ran again, or return units that did not run (negative)."""
         state = self._states.get(quota_key(organisation))
         if state is not None:
-            state.level = min(state.level - units, state.parameters.most)
+            state.level = min(state.level - units, state.parameters.max_level)
             state.admitted.total += units
 
     def _advance(self, state: _QuotaState, instances: int, now: float) -> None:
         """Advance a level to `now`; without a current answer only this instance's share is used."""
         if state.has_answer and self._is_answer_expired(state, now):
             state.has_answer = False
-            state.level = min(state.level, state.parameters.most / max(instances, 1))
+            state.level = min(state.level, state.parameters.max_level / max(instances, 1))
         sharers = max(instances, 1)
-        most = state.parameters.most if state.has_answer else state.parameters.most / sharers
+        most = (
+            state.parameters.max_level if state.has_answer else state.parameters.max_level / sharers
+        )
         fresh_ms, stale_ms = self._elapsed_ms(state, now)
         gained = state.parameters.per_s * (fresh_ms + stale_ms / sharers) / MS_PER_S
         state.level = min(state.level + gained, max(most, state.level))
@@ -258,7 +260,8 @@
                 continue
             state.admitted.acknowledged = sent.totals[key]
             state.level = min(
-                level - (state.admitted.total - state.admitted.acknowledged), state.parameters.most
+                level - (state.admitted.total - state.admitted.acknowledged),
+                state.parameters.max_level,
             )
             state.answered_level = state.level
             state.at_ms = now
--- a/sparline/quotas/_level.py
+++ b/sparline/quotas/_level.py
@@ -49,11 +49,11 @@
     def set_parameters(self, parameters: QuotaParameters) -> None:
         """Switch to other refill parameters; units above the new upper bound are discarded."""
         self._parameters = parameters
-        self._level = min(self._level, parameters.most)
+        self._level = min(self._level, parameters.max_level)
 
     def subtract(self, units: float) -> None:
         """Subtract units admitted in the own region; negative units are returned to the quota."""
-        self._level = min(self._level - units, self._parameters.most)
+        self._level = min(self._level - units, self._parameters.max_level)
 
     def advance_to(self, now: float, silent_shares: dict[RegionName, float]) -> float:
         """Advance the level to `now` and return it.
@@ -68,7 +68,7 @@
         for region in self._remote_uses.keys() | silent_shares.keys():
             used += self._assume_use(region, silent_shares.get(region), elapsed_s)
         gained = self._parameters.per_s * elapsed_s
-        self._level = min(self._level + gained, self._parameters.most) - used
+        self._level = min(self._level + gained, self._parameters.max_level) - used
         return self._level
 
     def _assume_use(
@@ -91,7 +91,7 @@
     def apply_update(self, region: RegionName, units: float, now: float) -> None:
         """Replace the assumed use of a region by the units it reports since its last update."""
         remote = self._remote_uses.setdefault(region, _RemoteUse())
-        self._level = min(self._level + remote.assumed_units - units, self._parameters.most)
+        self._level = min(self._level + remote.assumed_units - units, self._parameters.max_level)
         remote.assumed_units = 0.0
         remote.is_silent = False
         remote.level_at_update = self._level
--- a/sparline/quotas/_terms.py
+++ b/sparline/quotas/_terms.py
@@ -36,7 +36,7 @@
     """Define the refill parameters of a quota's token bucket."""
 
     per_s: float  # units added each second
-    most: float  # upper bound of the level
+    max_level: float  # upper bound of the level
     first: float  # initial level when prior use is unknown
 
 
--- a/sparline/quotas/tests/test_allowance.py
+++ b/sparline/quotas/tests/test_allowance.py
@@ -101,7 +101,7 @@
     one.admit(ORGANISATION, 1.0, 10, 800.0)
     left = one.left(ORGANISATION_ID, 800.0)
     assert not left.is_fleet_wide
-    assert left.units <= make_quota_parameters(QUOTA, TOLERANCE).most / 10
+    assert left.units <= make_quota_parameters(QUOTA, TOLERANCE).max_level / 10
 
 
 def test_settle_returns_units_not_run_and_charges_reruns():
