--- a/sparline/quotas/_account.py
+++ b/sparline/quotas/_account.py
@@ -121,8 +121,12 @@
         if state is None:
             # The previous coordinator is gone; instances still hold the level that it last
             # reported.
-            first = parameters.first * self._region_shares().get(self._region, 1.0)
-            level = first if reported_level is None else min(reported_level, parameters.max_level)
+            initial_level = parameters.initial_level * self._region_shares().get(self._region, 1.0)
+            level = (
+                initial_level
+                if reported_level is None
+                else min(reported_level, parameters.max_level)
+            )
             total = self._dropped_totals.get(key, 0.0)
             state = self._states[key] = _QuotaState(
                 FleetLevel(parameters, level, now), now, total, total
