--- a/sparline/quarantine/_crash_table.py
+++ b/sparline/quarantine/_crash_table.py
@@ -231,8 +231,8 @@
             if ends >= MIN_SUSPECT_ENDS:
                 self._on_evicted(digest, ends)
 
-    def facts(self, most: int, singles_ms: float, suspects_ms: float) -> list[CrashFact]:
-        """Return the recently changed facts to send to peers, at most `most`.
+    def facts(self, limit: int, singles_ms: float, suspects_ms: float) -> list[CrashFact]:
+        """Return the recently changed facts to send to peers, at most `limit`.
 
         When there are more, half of them are those with the most crashes and the others are a
         random sample. `singles_ms` and `suspects_ms` are the maximum age of a change, for requests
@@ -245,9 +245,9 @@
             if now - one.changed_at_ms <= (suspects_ms if one.was_suspect else singles_ms)
         ]
         changed.sort(key=lambda pair: (len(pair[1].ended), pair[1].changed_at_ms), reverse=True)
-        if len(changed) > most:
-            top_count = most - most // 2
-            changed = changed[:top_count] + random.sample(changed[top_count:], most - top_count)
+        if len(changed) > limit:
+            top_count = limit - limit // 2
+            changed = changed[:top_count] + random.sample(changed[top_count:], limit - top_count)
         return [_fact_of(digest, one, now) for digest, one in changed]
 
     def forget_old(self) -> None:
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -87,8 +87,8 @@
 class _QuotaState:
     """Hold this instance's state of one organisation's quota."""
 
-    admitted: _AdmittedUnits  # admitted units
-    parameters: QuotaParameters  # refill parameters
+    admitted: _AdmittedUnits
+    parameters: QuotaParameters
     level: float  # remaining units, negative when in debt
     at_ms: float  # time of `level`
     requested_at_ms: float  # time of the last request
--- a/sparline/quotas/_level.py
+++ b/sparline/quotas/_level.py
@@ -36,7 +36,7 @@
 class FleetLevel:
     """Estimate the remaining level of one quota across all regions.
 
-    Call `advance_to` before `subtract` and `apply_update`.
+    Call `advance_to` with the current time before `subtract` and `apply_update`.
     """
 
     def __init__(self, parameters: QuotaParameters, level: float, now: float) -> None:
--- a/sparline/quotas/_terms.py
+++ b/sparline/quotas/_terms.py
@@ -37,7 +37,7 @@
 
     per_s: float  # units added each second
     max_level: float  # upper bound of the level
-    initial_level: float  # initial level when prior use is unknown
+    initial_level: float  # level when prior use is unknown
 
 
 def make_quota_parameters(quota: Quota, tolerance: QuotaTolerance) -> QuotaParameters:
