--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -57,7 +57,7 @@
     WatchTables,
 )
 from sparline.quarantine import CrashTable
-from sparline.quotas import NO_ROOM, Allowance
+from sparline.quotas import NO_TOLERANCE, QuotaLimiter
 from sparline.requests import Origin, Prompt, PromptPrefix, RoutedRequest
 from sparline.routes import (
     DEFAULT_LIMITS,
@@ -211,7 +211,9 @@
             self.members,
             self.exchange,
             CrashExchange(CrashTable()),
-            QuotaExchange(self.members, Allowance(NO_ROOM, random.Random(ip)), lambda _key: None),
+            QuotaExchange(
+                self.members, QuotaLimiter(NO_TOLERANCE, random.Random(ip)), lambda _key: None
+            ),
             GossipSources(
                 recent_prefix_uses=self._cache.recent_prefix_uses,
                 merge_prefix_uses=self._cache.merge_prefix_uses,
--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -8,7 +8,7 @@
 from sparline.backends import AttemptContext, BackendAddress, attempt
 from sparline.dispatch._retry_budget import RetryBudget
 from sparline.dispatch._waiting_room import WaitQueue
-from sparline.quarantine import CrashTable, Reach, ServerEnds, Verdict
+from sparline.quarantine import CrashTable, ProbeResult, ServerEndDetector, Verdict
 from sparline.requests import (
     Answer,
     AnswerChunk,
@@ -85,7 +85,7 @@
     relay: RelaySender  # relays a request to another zone
     connect_timeout_ms: float  # connect timeout at backend servers
     crashes: CrashTable  # crashes of backend servers by request digest
-    ends: ServerEnds  # probes whether a backend server that broke a response has crashed
+    ends: ServerEndDetector  # probes whether a backend server that broke a response has crashed
 
 
 class Dispatcher:
@@ -226,7 +226,7 @@
         elif end.outcome is Outcome.complete:
             self._parts.loads.note_success(backend)
             if (digest := request.digest()) is not None:
-                self._parts.crashes.note_whole(digest)
+                self._parts.crashes.note_complete_answer(digest)
 
     def _record_crash(self, request: Request, backend: BackendState, end: AnswerEnd) -> None:
         """Record a crash if the backend server that broke the response refuses connections."""
@@ -235,7 +235,7 @@
             return
         server_id = BackendServerId(f"{backend.member.id}@{backend.incarnation}")
         address = (backend.member.ip, backend.member.port)
-        if self._parts.ends.reach(server_id, address) is Reach.REFUSED:
+        if self._parts.ends.reach(server_id, address) is ProbeResult.REFUSED:
             self._parts.crashes.note_end(digest, server_id)
 
     def _relay_to_zone(
--- a/sparline/fleet/_quota_exchange.py
+++ b/sparline/fleet/_quota_exchange.py
@@ -11,7 +11,15 @@
 from sparline._hashing import hash64
 from sparline._ids import OrganisationId, RegionName
 from sparline.fleet._members import Members
-from sparline.quotas import Account, Allowance, Left, RegionTotal, Report, Terms, Use
+from sparline.quotas import (
+    QuotaCoordinator,
+    QuotaLimiter,
+    QuotaParameters,
+    QuotaUsage,
+    RegionTotal,
+    RemainingQuota,
+    UsageReport,
+)
 from sparline.routes import Organisation
 from sparline.schema._gossip import (
     QuotaLevelNote,
@@ -47,14 +55,14 @@
     def __init__(
         self,
         members: Members,
-        allowance: Allowance,
-        terms_of: Callable[[int], Terms | None],
+        allowance: QuotaLimiter,
+        terms_of: Callable[[int], QuotaParameters | None],
     ) -> None:
         """Exchange with the members of a fleet; `terms_of` returns a quota's terms by its key."""
         self.allowance = allowance
         self._members = members
         self._region = RegionName(members.own.region)
-        self.account = Account(self._region, terms_of, self._parts)
+        self.account = QuotaCoordinator(self._region, terms_of, self._parts)
         self._passed_over: dict[str, float] = {}  # silent account holders, until when
         self._reported_to = ""
         self._siblings = 1  # instances of the region, as of the last round
@@ -64,15 +72,15 @@
         """Return None where a request may run, else when it may come back (ms)."""
         return self.allowance.admit(organisation, cost, self._instances, now_ms())
 
-    def is_guess(self, organisation: OrganisationId) -> bool:
+    def is_estimate(self, organisation: OrganisationId) -> bool:
         """Tell whether what is left may have changed since the account holder's last word."""
-        return self.allowance.is_guess(organisation, now_ms())
+        return self.allowance.is_estimate(organisation, now_ms())
 
     def settle(self, organisation: OrganisationId, units: float) -> None:
         """Take more off for a request that ran again, or give back what did not run (below zero)."""
         self.allowance.settle(organisation, units)
 
-    def left(self, organisation: OrganisationId) -> Left | None:
+    def left(self, organisation: OrganisationId) -> RemainingQuota | None:
         """Return what is taken to be left of a quota, None where it is unused here."""
         return self.allowance.left(organisation, now_ms())
 
@@ -97,7 +105,7 @@
         own = self._members.own
         if holder == own.ip:
             levels = self.account.take_report((own.ip, own.incarnation), report, now)
-            self.allowance.take_word(report.sequence, levels, now)
+            self.allowance.apply_answer(report.sequence, levels, now)
             return self._pressed_totals(now)
         uses = [_note_of(use) for use in report.uses]
         return [
@@ -124,7 +132,7 @@
         return [*self.due(), *self._totals(now)]
 
     def _pressed_totals(self, now: float) -> list[QuotaOutgoing]:
-        return self._totals(now) if self.account.is_word_due(now) else []
+        return self._totals(now) if self.account.are_totals_due(now) else []
 
     def _totals(self, now: float) -> list[QuotaOutgoing]:
         if not len(self.account):
@@ -143,7 +151,7 @@
         now = now_ms()
         match message:
             case QuotaReport():
-                report = Report(message.sequence, [_use_of(note) for note in message.uses])
+                report = UsageReport(message.sequence, [_use_of(note) for note in message.uses])
                 member = (message.ip, message.incarnation)
                 levels = self.account.take_report(member, report, now)
                 notes = [QuotaLevelNote(key, round(level)) for key, level in levels.items()]
@@ -151,7 +159,7 @@
                 return [answer, *self._pressed_totals(now)]
             case QuotaWord():
                 levels = {note.key: float(note.level) for note in message.levels}
-                self.allowance.take_word(message.sequence, levels, now)
+                self.allowance.apply_answer(message.sequence, levels, now)
             case QuotaTotals():
                 totals = [RegionTotal(note.key, note.total) for note in message.totals]
                 holder = (message.ip, message.incarnation)
@@ -165,10 +173,10 @@
         return RegionName(f"{told.region}/{told.ip}")
 
 
-def _note_of(use: Use) -> QuotaUseNote:
+def _note_of(use: QuotaUsage) -> QuotaUseNote:
     level = None if use.level is None else round(use.level)
     return QuotaUseNote(use.key, round(use.total), round(use.unsaid), level)
 
 
-def _use_of(note: QuotaUseNote) -> Use:
-    return Use(note.key, note.total, note.unsaid, note.level)
+def _use_of(note: QuotaUseNote) -> QuotaUsage:
+    return QuotaUsage(note.key, note.total, note.unsaid, note.level)
--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -22,7 +22,7 @@
     end_to_end,
 )
 from sparline.placement import Placement, Reservation, StreamWatch
-from sparline.quarantine import Reach
+from sparline.quarantine import ProbeResult
 from sparline.requests import Reason, RoutedRequest
 from sparline.routes import RequestKind
 
@@ -127,7 +127,7 @@
         if self._dependencies.has_ended(self._server_id):
             return self._server_id
         address = self._placement.server.address
-        if self._dependencies.ends.reach(self._server_id, address) is Reach.REFUSED:
+        if self._dependencies.ends.reach(self._server_id, address) is ProbeResult.REFUSED:
             return self._server_id
         return self._dependencies.ends.witnessed_end(self._server_id, self._probe_connections)
 
--- a/sparline/forwarding/_attempt_types.py
+++ b/sparline/forwarding/_attempt_types.py
@@ -9,7 +9,7 @@
 from sparline.forwarding._wire import Wire
 from sparline.http import ConnectionPool, HttpAnswer
 from sparline.placement import HealthTable, PaceTable, ServerLimitTable, WatchTables
-from sparline.quarantine import ServerEnds
+from sparline.quarantine import ServerEndDetector
 from sparline.requests import Reason, RoutedRequest
 
 
@@ -82,5 +82,5 @@
     ]  # whether a waiting request may be sent elsewhere
     note_peer: Callable[[str, bool], None]  # records whether a peer was reachable
     note_round_trip: Callable[[RegionName, float], None]  # records a connection's opening time
-    ends: ServerEnds  # detects whether servers have exited
+    ends: ServerEndDetector  # detects whether servers have exited
     has_ended: Callable[[BackendServerId], bool]  # whether that incarnation has exited
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -22,7 +22,7 @@
 from sparline.forwarding._wire import AttemptParameters, OwnAnswer
 from sparline.http import CallerConnection, CallerGone, Headers, end_to_end
 from sparline.placement import Chooser, LoadTable, Placement, Refusal
-from sparline.quarantine import CrashTable, Learnt, RequestDigest, Verdict
+from sparline.quarantine import CrashTable, FactSource, RequestDigest, Verdict
 from sparline.requests import Origin, Reason, RoutedRequest
 
 # A request is given up after this many attempts that are proven not to have run (count).
@@ -161,7 +161,7 @@
             self.placement = selected
             end = self._attempt(selected)
             if end.result is AttemptResult.DELIVERED:
-                self._dependencies.crashes.note_whole(self._request_digest())
+                self._dependencies.crashes.note_complete_answer(self._request_digest())
                 return self._make_end(200, Reason.NONE)
             if end.reason is Reason.QUARANTINED:
                 return self._end_quarantined()
@@ -228,7 +228,7 @@
         The digest is computed only if any such interruption is recorded.
         """
         ends = self._dependencies.attempt_dependencies.ends
-        return ends.has_doubts and ends.is_doubted(self._request_digest())
+        return ends.has_watched_requests and ends.has_unexplained_abort(self._request_digest())
 
     def _note_end(self, placement: Placement, end: AttemptEnd) -> None:
         if end.result is AttemptResult.NOT_RUN:
@@ -261,13 +261,13 @@
     def _note_crash(self, placement: Placement, end: AttemptEnd) -> None:
         """Record a server exit during the request and stop retrying a suspected request."""
         if end.may_have_exited:
-            self._dependencies.attempt_dependencies.ends.wait_for_word(
+            self._dependencies.attempt_dependencies.ends.note_aborted_answer(
                 self._request_digest(), placement.server.id
             )
         if end.ended_server is None:
             return
         self._ended_server = end.ended_server
-        learnt = Learnt.HERE if placement.peer is None else Learnt.PEER
+        learnt = FactSource.HERE if placement.peer is None else FactSource.PEER
         self._dependencies.crashes.note_end(self._request_digest(), end.ended_server, learnt)
         if self._quarantine_verdict() is not Verdict.CLEAR:
             self._sends_left = 0
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -77,8 +77,8 @@
     refusal_headers,
     relayed_refusal_headers,
 )
-from sparline.quarantine import CrashChange, CrashTable, EndParts, ServerEnds
-from sparline.quotas import NO_ROOM, Allowance, QuotaBounds
+from sparline.quarantine import CrashChange, CrashTable, ServerEndCallbacks, ServerEndDetector
+from sparline.quotas import NO_TOLERANCE, QuotaLimiter, QuotaTolerance
 from sparline.requests import is_withdrawn
 from sparline.schema._gateway import GatewaySettings
 from sparline.schema._gossip import MemberPhase
@@ -136,8 +136,8 @@
         self.peers = PeerTable(self.members, needed_until_ms)
         self._pool = ConnectionPool(lambda _address: self.metrics.connections.inc())
         self._make_placement(region)
-        self.ends = ServerEnds(
-            EndParts(
+        self.ends = ServerEndDetector(
+            ServerEndCallbacks(
                 self._pool.probe,
                 self.health.heard_at_ms,
                 self.health.note_unreachable,
@@ -145,10 +145,12 @@
             )
         )
         borne = settings.quotas
-        bounds = QuotaBounds(borne.window_s, borne.excess, borne.slack) if borne else NO_ROOM
+        bounds = (
+            QuotaTolerance(borne.window_s, borne.excess, borne.slack) if borne else NO_TOLERANCE
+        )
         self.quota_exchange = QuotaExchange(
             self.members,
-            Allowance(bounds, random.Random()),
+            QuotaLimiter(bounds, random.Random()),
             QuotaTerms(self.fleet, bounds).of,
         )
         self.quotas = Quotas(self.quota_exchange, lambda: self.gossip, self.metrics)
@@ -300,7 +302,7 @@
 
     def _note_gone(self, server: BackendServer) -> None:
         """Count a server's end under the requests that broke off with it."""
-        for digest in self.ends.note_gone(server.id):
+        for digest in self.ends.note_removed(server.id):
             self.crashes.note_end(digest, server.id)
 
     def _note_crash(self, change: CrashChange) -> None:
--- a/sparline/gateway/_quotas.py
+++ b/sparline/gateway/_quotas.py
@@ -9,7 +9,7 @@
 from sparline.fleet import FleetState, GossipPort, QuotaExchange
 from sparline.gateway._log_output import LineBudget
 from sparline.gateway._metrics import GatewayMetrics
-from sparline.quotas import QuotaBounds, Terms, make_terms, quota_key
+from sparline.quotas import QuotaParameters, QuotaTolerance, make_quota_parameters, quota_key
 from sparline.requests import KnownCaller, Prompt, RoutedRequest
 from sparline.routes import Configuration, Organisation
 
@@ -22,14 +22,14 @@
 class QuotaTerms:
     """Find the terms of a quota by its key, in the configuration in force."""
 
-    def __init__(self, fleet: FleetState, bounds: QuotaBounds) -> None:
+    def __init__(self, fleet: FleetState, bounds: QuotaTolerance) -> None:
         """Look into what a fleet holds."""
         self._fleet = fleet
         self._bounds = bounds
         self._configuration: Configuration | None = None
-        self._by_key: dict[int, Terms] = {}
+        self._by_key: dict[int, QuotaParameters] = {}
 
-    def of(self, key: int) -> Terms | None:
+    def of(self, key: int) -> QuotaParameters | None:
         """Return the terms, None where the organisation is unknown or has no quota."""
         configuration = self._fleet.configuration
         if configuration is not self._configuration:
@@ -37,12 +37,12 @@
             self._by_key = self._read(configuration)
         return self._by_key.get(key)
 
-    def _read(self, configuration: Configuration | None) -> dict[int, Terms]:
+    def _read(self, configuration: Configuration | None) -> dict[int, QuotaParameters]:
         known = configuration.organisations if configuration else None
         if known is None:
             return {}
         return {
-            quota_key(one.id): make_terms(one.quota, self._bounds)
+            quota_key(one.id): make_quota_parameters(one.quota, self._bounds)
             for one in known.by_id.values()
             if one.quota is not None
         }
@@ -72,7 +72,7 @@
         organisation = caller.organisation
         cost = cost_of(organisation, prompt)
         wait_ms = self._ask(organisation, cost)
-        if wait_ms is not None and self._exchange.is_guess(organisation.id):
+        if wait_ms is not None and self._exchange.is_estimate(organisation.id):
             # What others gave back or what has come meanwhile is known a way later.
             gevent.sleep(WORD_MS / 1000)
             wait_ms = self._ask(organisation, cost)
@@ -98,7 +98,7 @@
             organisation=organisation.id,
             per_s=organisation.quota.per_s if organisation.quota else None,
             left=round(left.units),
-            whole_fleet=left.is_fleets,
+            whole_fleet=left.is_fleet_wide,
             word_age_ms=round(left.word_age_ms) if left.word_age_ms is not None else None,
             retry_after_ms=round(wait_ms),
         ).info("over_quota")
--- a/sparline/instance/_control.py
+++ b/sparline/instance/_control.py
@@ -23,7 +23,7 @@
     next_hops,
     scope_of,
 )
-from sparline.quarantine import CrashChange, CrashTable, Learnt, fact_of, note_of
+from sparline.quarantine import CrashChange, CrashTable, FactSource, to_crash_fact, to_crash_note
 from sparline.routing import (
     LoadTable,
     Reporter,
@@ -111,14 +111,16 @@
 
     def tell_crash(self, change: CrashChange) -> None:
         """Tell the fleet of a backend server that ended under a request, seen here."""
-        if change.learnt is Learnt.HERE:
+        if change.learnt is FactSource.HERE:
             self._spread_crashes([change], Scope.SELF, None)
 
     def _spread_crashes(
         self, changes: list[CrashChange], came_from: Scope, link: PeerLink | None
     ) -> None:
         hops = next_hops(self._parts.membership, came_from, came_from is not Scope.REGION)
-        news = EncodedMessage.of(CrashNews([note_of(one.fact) for one in changes], pass_on=True))
+        news = EncodedMessage.of(
+            CrashNews([to_crash_note(one.fact) for one in changes], pass_on=True)
+        )
         for hop in hops:
             if hop is not link:
                 hop.send(news)
@@ -190,7 +192,7 @@
         # What was told while there was no link is made up for.
         suspects = self._parts.crashes.facts(MOST_TOLD_TO_NEW, 0.0, FOREVER_MS)
         if suspects:
-            link.send(CrashNews([note_of(one) for one in suspects], pass_on=True))
+            link.send(CrashNews([to_crash_note(one) for one in suspects], pass_on=True))
         if scope_of(self._parts.membership.self_hello, link.peer) is Scope.SIBLING:
             for held in self._parts.summaries.fresh():
                 link.send(with_added_age(held.summary, now_ms() - held.received_ms))
@@ -270,7 +272,7 @@
 
     @_take.register
     def _(self, message: CrashNews, link: PeerLink) -> None:
-        changes = self._parts.crashes.take(map(fact_of, message.crashes))
+        changes = self._parts.crashes.take(map(to_crash_fact, message.crashes))
         if changes:
             came_from = scope_of(self._parts.membership.self_hello, link.peer)
             self._spread_crashes(changes, came_from, link)
--- a/sparline/instance/_instance.py
+++ b/sparline/instance/_instance.py
@@ -31,13 +31,13 @@
 from sparline.peers import MAX_MESSAGE_BYTES, Dialer, Membership, Mesh, read_hello, stop_serving
 from sparline.publication import PlatformClient, PlatformReader, ReaderHooks
 from sparline.quarantine import (
-    MOST_ENDS,
+    MIN_QUARANTINE_ENDS,
     CrashChange,
     CrashTable,
-    EndParts,
     RequestDigest,
-    ServerEnds,
-    logged,
+    ServerEndCallbacks,
+    ServerEndDetector,
+    short_hex,
 )
 from sparline.relay import RelayReceiver, RelaySender
 from sparline.requests import RequestLedger
@@ -94,8 +94,8 @@
 
     def _make_quarantine(self) -> None:
         self.crashes = CrashTable(self._note_crash, self._note_pushed_out)
-        self.ends = ServerEnds(
-            EndParts(
+        self.ends = ServerEndDetector(
+            ServerEndCallbacks(
                 probe=probe,
                 heard_at_ms=lambda _server_id: 0.0,
                 note_unreachable=lambda _server_id: None,
@@ -104,18 +104,20 @@
         )
 
     def _note_crash(self, change: CrashChange) -> None:
-        self.metrics.crashes.labels(change.learnt.value, str(min(change.ends, MOST_ENDS))).inc()
+        self.metrics.crashes.labels(
+            change.learnt.value, str(min(change.ends, MIN_QUARANTINE_ENDS))
+        ).inc()
         if change.concerns_suspect:
             log.warning(
                 "quarantine: {} backend servers ended under request {}, told by {}",
                 change.ends,
-                logged(change.fact.digest),
+                short_hex(change.fact.digest),
                 change.learnt.value,
             )
         self.control.tell_crash(change)
 
     def _note_pushed_out(self, digest: RequestDigest, ends: int) -> None:
-        log.warning("quarantine: no room for request {} with {} ends", logged(digest), ends)
+        log.warning("quarantine: no room for request {} with {} ends", short_hex(digest), ends)
 
     def _make_routing(self, policy: Policy) -> None:
         settings = self.settings
--- a/sparline/quarantine/__init__.py
+++ b/sparline/quarantine/__init__.py
@@ -1,31 +1,36 @@
-"""Quarantine: requests under which one backend server after the other ends are sent nowhere."""
+"""Quarantine of requests that repeatedly crash the backend servers that run them."""
 
 from sparline.quarantine._crash_table import (
-    MOST_ENDS,
+    MIN_QUARANTINE_ENDS,
     CrashChange,
     CrashFact,
     CrashTable,
-    Learnt,
+    FactSource,
     Verdict,
 )
-from sparline.quarantine._digest import RequestDigest, digest_of, logged
-from sparline.quarantine._notes import fact_of, note_of
-from sparline.quarantine._server_ends import EndParts, EndSign, Reach, ServerEnds
+from sparline.quarantine._digest import RequestDigest, digest_of, short_hex
+from sparline.quarantine._notes import to_crash_fact, to_crash_note
+from sparline.quarantine._server_ends import (
+    EndEvidence,
+    ProbeResult,
+    ServerEndCallbacks,
+    ServerEndDetector,
+)
 
 __all__ = [
-    "MOST_ENDS",
+    "MIN_QUARANTINE_ENDS",
     "CrashChange",
     "CrashFact",
     "CrashTable",
-    "EndParts",
-    "EndSign",
-    "Learnt",
-    "Reach",
+    "EndEvidence",
+    "FactSource",
+    "ProbeResult",
     "RequestDigest",
-    "ServerEnds",
+    "ServerEndCallbacks",
+    "ServerEndDetector",
     "Verdict",
     "digest_of",
-    "fact_of",
-    "logged",
-    "note_of",
+    "short_hex",
+    "to_crash_fact",
+    "to_crash_note",
 ]
--- a/sparline/quarantine/tests/test_server_ends.py
+++ b/sparline/quarantine/tests/test_server_ends.py
@@ -1,131 +1,140 @@
-"""Whether a server has ended, by what a connection and the store show."""
+"""Detection of server terminations by connections and the store."""
 
 import gevent
 import pytest
 
 from sparline._ids import BackendServerId
-from sparline.quarantine import EndParts, EndSign, Reach, RequestDigest, ServerEnds, _server_ends
+from sparline.quarantine import (
+    EndEvidence,
+    ProbeResult,
+    RequestDigest,
+    ServerEndCallbacks,
+    ServerEndDetector,
+    _server_ends,
+)
 
 SERVER = BackendServerId("e1")
 ADDRESS = ("127.0.0.1", 1)
-ONE = RequestDigest(b"1" * 16)
-BROKE_MS = 1_000_000.0
+DIGEST = RequestDigest(b"1" * 16)
+ABORTED_AT_MS = 1_000_000.0
 
 
-class Seen:
-    """Stand for the network, the server's signs of life and the log."""
+class FakeEnvironment:
+    """Fake the network, the server's last activity and the log."""
 
-    def __init__(self, reach: Reach) -> None:
-        self.reach = reach
+    def __init__(self, probe_result: ProbeResult) -> None:
+        self.probe_result = probe_result
         self.probes = 0
         self.heard_at_ms = 0.0
         self.unreachable: list[str] = []
-        self.ends: list[tuple[str, EndSign]] = []
+        self.ends: list[tuple[str, EndEvidence]] = []
 
-    def probe(self, _address: object, _timeout_s: float) -> Reach:
+    def probe(self, _address: object, _timeout_s: float) -> ProbeResult:
         self.probes += 1
         gevent.sleep(0.01)
-        return self.reach
+        return self.probe_result
 
-    def parts(self) -> EndParts:
-        return EndParts(
+    def callbacks(self) -> ServerEndCallbacks:
+        return ServerEndCallbacks(
             self.probe,
             lambda _server_id: self.heard_at_ms,
             self.unreachable.append,
-            lambda server_id, sign: self.ends.append((server_id, sign)),
+            lambda server_id, evidence: self.ends.append((server_id, evidence)),
         )
 
 
 @pytest.fixture
 def clock(monkeypatch):
-    time = [BROKE_MS]
+    time = [ABORTED_AT_MS]
     monkeypatch.setattr(_server_ends, "now_ms", lambda: time[0])
     return time
 
 
-REACHES = [
-    ("nothing listens", Reach.REFUSED, ["e1"], [("e1", EndSign.REFUSED)]),
-    ("it goes on", Reach.OPEN, [], []),
-    ("no answer", Reach.UNKNOWN, [], []),
+PROBES = [
+    ("connection refused", ProbeResult.REFUSED, ["e1"], [("e1", EndEvidence.REFUSED)]),
+    ("connection accepted", ProbeResult.OPEN, [], []),
+    ("no response", ProbeResult.UNKNOWN, [], []),
 ]
 
 
 @pytest.mark.parametrize(
-    ("reach", "unreachable", "ends"),
-    [row[1:] for row in REACHES],
-    ids=[row[0] for row in REACHES],
+    ("probe_result", "unreachable", "ends"),
+    [row[1:] for row in PROBES],
+    ids=[row[0] for row in PROBES],
 )
-def test_a_connection_shows_it(clock, reach, unreachable, ends):
-    seen = Seen(reach)
-    server_ends = ServerEnds(seen.parts())
-    assert server_ends.reach(SERVER, ADDRESS) is reach
-    assert seen.unreachable == unreachable
-    assert seen.ends == ends
-
-
-def test_all_that_broke_off_together_ask_once(clock):
-    seen = Seen(Reach.REFUSED)
-    server_ends = ServerEnds(seen.parts())
-    asking = [gevent.spawn(server_ends.reach, SERVER, ADDRESS) for _ in range(30)]
-    gevent.joinall(asking, timeout=20)
-    assert [one.value for one in asking] == [Reach.REFUSED] * 30
-    assert server_ends.reach(SERVER, ADDRESS) is Reach.REFUSED
-    assert seen.probes == 1
-    assert len(seen.ends) == 1
-
-
-def test_a_server_that_was_there_is_asked_again(clock):
-    seen = Seen(Reach.OPEN)
-    server_ends = ServerEnds(seen.parts())
-    server_ends.reach(SERVER, ADDRESS)
-    seen.reach = Reach.REFUSED
-    assert server_ends.reach(SERVER, ADDRESS) is Reach.REFUSED
-
-
-def test_who_waits_for_a_probe_is_freed_when_the_prober_is_ended(clock):
-    seen = Seen(Reach.REFUSED)
-    server_ends = ServerEnds(seen.parts())
-    prober = gevent.spawn(server_ends.reach, SERVER, ADDRESS)
+def test_refused_probe_reports_a_termination(clock, probe_result, unreachable, ends):
+    environment = FakeEnvironment(probe_result)
+    detector = ServerEndDetector(environment.callbacks())
+    assert detector.probe(SERVER, ADDRESS) is probe_result
+    assert environment.unreachable == unreachable
+    assert environment.ends == ends
+
+
+def test_concurrent_callers_share_one_probe(clock):
+    environment = FakeEnvironment(ProbeResult.REFUSED)
+    detector = ServerEndDetector(environment.callbacks())
+    callers = [gevent.spawn(detector.probe, SERVER, ADDRESS) for _ in range(30)]
+    gevent.joinall(callers, timeout=20)
+    assert [one.value for one in callers] == [ProbeResult.REFUSED] * 30
+    assert detector.probe(SERVER, ADDRESS) is ProbeResult.REFUSED
+    assert environment.probes == 1
+    assert len(environment.ends) == 1
+
+
+def test_accepted_probe_is_not_reused(clock):
+    environment = FakeEnvironment(ProbeResult.OPEN)
+    detector = ServerEndDetector(environment.callbacks())
+    detector.probe(SERVER, ADDRESS)
+    environment.probe_result = ProbeResult.REFUSED
+    assert detector.probe(SERVER, ADDRESS) is ProbeResult.REFUSED
+
+
+def test_waiters_are_released_when_the_probing_greenlet_is_killed(clock):
+    environment = FakeEnvironment(ProbeResult.REFUSED)
+    detector = ServerEndDetector(environment.callbacks())
+    prober = gevent.spawn(detector.probe, SERVER, ADDRESS)
     gevent.sleep(0)
-    waiting = gevent.spawn(server_ends.reach, SERVER, ADDRESS)
+    waiting = gevent.spawn(detector.probe, SERVER, ADDRESS)
     gevent.sleep(0)
     prober.kill()
-    assert waiting.get(timeout=20) is Reach.UNKNOWN
+    assert waiting.get(timeout=20) is ProbeResult.UNKNOWN
 
 
-WORDS = [
-    ("gone soon, and never heard again", 3_000.0, 0.0, [ONE]),
-    ("gone long after", _server_ends.GONE_AFTER_MS + 1, 0.0, []),
-    ("heard after the break", 3_000.0, BROKE_MS + 1, []),
-    ("heard before the break", 3_000.0, BROKE_MS - 1, [ONE]),
+REMOVALS = [
+    ("removed soon, never heard again", 3_000.0, 0.0, [DIGEST]),
+    ("removed long after", _server_ends.MAX_REMOVAL_DELAY_MS + 1, 0.0, []),
+    ("heard after the abort", 3_000.0, ABORTED_AT_MS + 1, []),
+    ("heard before the abort", 3_000.0, ABORTED_AT_MS - 1, [DIGEST]),
 ]
 
 
 @pytest.mark.parametrize(
-    ("after_ms", "heard_at_ms", "ended"), [row[1:] for row in WORDS], ids=[row[0] for row in WORDS]
+    ("after_ms", "heard_at_ms", "ended"),
+    [row[1:] for row in REMOVALS],
+    ids=[row[0] for row in REMOVALS],
 )
-def test_the_store_tells_what_no_connection_showed(clock, after_ms, heard_at_ms, ended):
-    seen = Seen(Reach.UNKNOWN)
-    server_ends = ServerEnds(seen.parts())
-    server_ends.wait_for_word(ONE, SERVER)
+def test_store_removal_explains_aborted_answers(clock, after_ms, heard_at_ms, ended):
+    environment = FakeEnvironment(ProbeResult.UNKNOWN)
+    detector = ServerEndDetector(environment.callbacks())
+    detector.note_aborted_answer(DIGEST, SERVER)
     clock[0] += after_ms
-    seen.heard_at_ms = heard_at_ms
-    assert server_ends.note_gone(BackendServerId("another")) == []
-    assert server_ends.note_gone(SERVER) == ended
-    assert server_ends.note_gone(SERVER) == []
-    assert seen.ends == ([("e1", EndSign.GONE)] if ended else [])
+    environment.heard_at_ms = heard_at_ms
+    assert detector.note_removed(BackendServerId("another")) == []
+    assert detector.note_removed(SERVER) == ended
+    assert detector.note_removed(SERVER) == []
+    assert environment.ends == ([("e1", EndEvidence.GONE)] if ended else [])
 
 
-def test_what_waits_for_word_is_bounded(clock):
-    server_ends = ServerEnds(Seen(Reach.UNKNOWN).parts())
-    for number in range(2 * _server_ends.MOST_WAITING):
+def test_unexplained_aborts_are_bounded(clock):
+    detector = ServerEndDetector(FakeEnvironment(ProbeResult.UNKNOWN).callbacks())
+    for number in range(2 * _server_ends.MAX_UNEXPLAINED):
         clock[0] += 0.001
-        server_ends.wait_for_word(ONE, BackendServerId(f"s{number}"))
-    assert len(server_ends._waiting) == _server_ends.MOST_WAITING
+        detector.note_aborted_answer(DIGEST, BackendServerId(f"s{number}"))
+    assert len(detector._unexplained) == _server_ends.MAX_UNEXPLAINED
 
 
-class Connection:
-    """Stand for a second connection to a server."""
+class FakeConnection:
+    """Fake another connection to a server."""
 
     def __init__(self, lost: bool) -> None:
         self.lost = lost
@@ -134,48 +143,48 @@
         return self.lost
 
 
-WITNESSES = [
-    ("none was there", (), False),
-    ("the only one is lost", (True,), True),
-    ("all are lost", (True, True, True), True),
-    ("one goes on", (True, False, True), False),
-    ("all go on", (False, False), False),
+CONNECTIONS = [
+    ("no connection", (), False),
+    ("single connection lost", (True,), True),
+    ("all connections lost", (True, True, True), True),
+    ("one connection survives", (True, False, True), False),
+    ("all connections survive", (False, False), False),
 ]
 
 
 @pytest.mark.parametrize(
-    ("lost", "has_ended"), [row[1:] for row in WITNESSES], ids=[row[0] for row in WITNESSES]
+    ("lost", "has_ended"), [row[1:] for row in CONNECTIONS], ids=[row[0] for row in CONNECTIONS]
 )
-def test_a_server_that_loses_every_connection_has_ended(clock, lost, has_ended):
-    seen = Seen(Reach.OPEN)
-    server_ends = ServerEnds(seen.parts())
-    found = server_ends.witnessed_end(SERVER, [Connection(one) for one in lost])
+def test_server_that_loses_every_connection_has_ended(clock, lost, has_ended):
+    environment = FakeEnvironment(ProbeResult.OPEN)
+    detector = ServerEndDetector(environment.callbacks())
+    found = detector.witnessed_end(SERVER, [FakeConnection(one) for one in lost])
     assert (found is not None) is has_ended
-    assert seen.ends == ([(SERVER, EndSign.WITNESSED)] if has_ended else [])
+    assert environment.ends == ([(SERVER, EndEvidence.WITNESSED)] if has_ended else [])
 
 
-def test_two_ends_of_a_server_that_keeps_its_name_are_two(clock):
-    server_ends = ServerEnds(Seen(Reach.OPEN).parts())
-    first = server_ends.witnessed_end(SERVER, [Connection(True)])
+def test_two_ends_under_one_server_id_are_distinct(clock):
+    detector = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).callbacks())
+    first = detector.witnessed_end(SERVER, [FakeConnection(True)])
     clock[0] += 200
-    assert server_ends.witnessed_end(SERVER, [Connection(True)]) != first
-
-
-def test_a_request_is_watched_for_a_while_after_an_unexplained_break(clock):
-    server_ends = ServerEnds(Seen(Reach.OPEN).parts())
-    assert not server_ends.has_doubts
-    server_ends.wait_for_word(ONE, SERVER)
-    assert server_ends.has_doubts
-    assert server_ends.is_doubted(ONE)
-    assert not server_ends.is_doubted(RequestDigest(b"2" * 16))
-    clock[0] += _server_ends.DOUBTED_MS + 1
-    assert not server_ends.is_doubted(ONE)
-    assert not server_ends.has_doubts
-
-
-def test_what_is_watched_is_bounded(clock):
-    server_ends = ServerEnds(Seen(Reach.OPEN).parts())
-    for number in range(2 * _server_ends.MOST_DOUBTED):
-        server_ends.wait_for_word(RequestDigest(b"%d" % number), SERVER)
-    assert not server_ends.is_doubted(RequestDigest(b"0"))
-    assert len(server_ends._doubted) == _server_ends.MOST_DOUBTED
+    assert detector.witnessed_end(SERVER, [FakeConnection(True)]) != first
+
+
+def test_request_is_watched_after_an_unexplained_abort(clock):
+    detector = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).callbacks())
+    assert not detector.has_watched_requests
+    detector.note_aborted_answer(DIGEST, SERVER)
+    assert detector.has_watched_requests
+    assert detector.has_unexplained_abort(DIGEST)
+    assert not detector.has_unexplained_abort(RequestDigest(b"2" * 16))
+    clock[0] += _server_ends.WATCH_MS + 1
+    assert not detector.has_unexplained_abort(DIGEST)
+    assert not detector.has_watched_requests
+
+
+def test_watched_requests_are_bounded(clock):
+    detector = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).callbacks())
+    for number in range(2 * _server_ends.MAX_WATCHED):
+        detector.note_aborted_answer(RequestDigest(b"%d" % number), SERVER)
+    assert not detector.has_unexplained_abort(RequestDigest(b"0"))
+    assert len(detector._watched) == _server_ends.MAX_WATCHED
--- a/sparline/quotas/__init__.py
+++ b/sparline/quotas/__init__.py
@@ -1,26 +1,33 @@
-"""Quotas of organisations over all instances, with nothing shared but what they tell each other.
+"""Fleet-wide quotas of organisations, enforced by message exchange without shared storage.
 
-One instance of each region, its account holder, adds up what the region's instances have admitted and
-tells them how much is left; account holders tell each other their regions' totals. An instance that
-hears of no account holder, and a region that hears nothing of another, go on with their own part.
+One instance of each region, the quota coordinator, adds up what the region's instances have
+admitted and answers their reports with the remaining quota; coordinators exchange their regions'
+totals. An instance without a coordinator, and a region cut off from another, continue with their
+own share of the quota.
 """
 
-from sparline.quotas._account import Account, RegionTotal
-from sparline.quotas._allowance import Allowance, Left, Report, Use
+from sparline.quotas._account import QuotaCoordinator, RegionTotal
+from sparline.quotas._allowance import QuotaLimiter, QuotaUsage, RemainingQuota, UsageReport
 from sparline.quotas._level import FleetLevel
-from sparline.quotas._terms import NO_ROOM, QuotaBounds, Terms, make_terms, quota_key
+from sparline.quotas._terms import (
+    NO_TOLERANCE,
+    QuotaParameters,
+    QuotaTolerance,
+    make_quota_parameters,
+    quota_key,
+)
 
 __all__ = [
-    "NO_ROOM",
-    "Account",
-    "Allowance",
+    "NO_TOLERANCE",
     "FleetLevel",
-    "Left",
-    "QuotaBounds",
+    "QuotaCoordinator",
+    "QuotaLimiter",
+    "QuotaParameters",
+    "QuotaTolerance",
+    "QuotaUsage",
     "RegionTotal",
-    "Report",
-    "Terms",
-    "Use",
-    "make_terms",
+    "RemainingQuota",
+    "UsageReport",
+    "make_quota_parameters",
     "quota_key",
 ]
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -1,4 +1,4 @@
-"""What one instance may admit of each quota, between the words of its region's account holder."""
+"""Local admission by quota in one instance, between answers of its region's quota coordinator."""
 
 import math
 import random
@@ -6,273 +6,301 @@
 from dataclasses import dataclass, field
 
 from sparline._ids import OrganisationId
-from sparline.quotas._terms import QuotaBounds, Terms, make_terms, quota_key
+from sparline.quotas._terms import QuotaParameters, QuotaTolerance, make_quota_parameters, quota_key
 from sparline.routes import Organisation
 
-# Where much is left, what was admitted is told so often (ms), and where little is left, at once: but
-# not more often than each of the region's instances may (ms for each of them), so that the account
-# holder hears from all of them no more than some hundred times a second.
-CALM_MS = 1_000.0
-PRESSED_MS_AN_INSTANCE = 3.0
-PRESSED_LEAST_MS = 20.0
-# A report that is not answered by then, a few times the way within a region, shows that the account
-# holder is gone (ms).
-ANSWER_MS = 700.0
-# A report is repeated if it was not answered by then (ms).
-AGAIN_MS = 200.0
-# For so long after a word what comes to the whole fleet is taken to be there for whoever asks, later only
-# the own part of it (ms): others ask too, and a holder that has ended tells nobody.
-FRESH_MS = 150.0
-# A word older than this says nothing of what others have used since (ms).
-WORD_MS = 3_000.0
-# A new account holder goes on from a word that is not older than this (ms).
-REMEMBERED_MS = 10_000.0
-# An organisation that has asked nothing for so long is forgotten (ms).
+# Admitted units are reported at this interval while much quota is left (ms), and at once when
+# little is left. The minimum interval grows with the number of instances in the region (ms for
+# each), so that the coordinator receives no more than some hundred reports a second from all of
+# them.
+REPORT_INTERVAL_MS = 1_000.0
+REPORT_INTERVAL_PER_INSTANCE_MS = 3.0
+MIN_REPORT_INTERVAL_MS = 20.0
+# The coordinator counts as gone when a report is unanswered for this long (ms), a few times the
+# network delay within a region.
+ANSWER_TIMEOUT_MS = 700.0
+# A report is sent again when it is unanswered for this long (ms).
+RESEND_AFTER_MS = 200.0
+# For this long after an answer the refill of the whole fleet is credited here, afterwards only this
+# instance's share (ms): other instances use the quota too, and a stopped coordinator sends no
+# updates.
+FRESH_ANSWER_MS = 150.0
+# An answer older than this is ignored, since the use by others since then is unknown (ms).
+MAX_ANSWER_AGE_MS = 3_000.0
+# A new coordinator takes over the level of an answer that is not older than this (ms).
+MAX_HANDOVER_AGE_MS = 10_000.0
+# An organisation without requests for this long is dropped (ms).
 IDLE_MS = 60_000.0
-# Callers over the quota are told to come back once it holds enough again, spread by this factor, so
-# that they don't come at once; not sooner and not later than this (ms).
-SPREAD = (1.0, 1.5)
-LEAST_WAIT_MS = 50.0
-MOST_WAIT_MS = 10_000.0
-# Organisations named in a report (count), some 22 bytes each: it stays below 1,400 bytes.
-MOST_USES = 56
-# Reports whose answers are waited for (count).
-MOST_OPEN_REPORTS = 16
+# Callers over the quota are told to retry once it has refilled. The delay is multiplied by a random
+# factor from this range, so that retries don't coincide, and bounded by these delays (ms).
+RETRY_JITTER = (1.0, 1.5)
+MIN_RETRY_DELAY_MS = 50.0
+MAX_RETRY_DELAY_MS = 10_000.0
+# Most organisations in a report: at some 22 bytes each it stays below 1,400 bytes.
+MAX_USES = 56
+# Most reports that may await an answer.
+MAX_UNANSWERED_REPORTS = 16
 MS_PER_S = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
-    """Tell what an instance has admitted of one quota."""
+class QuotaUsage:
+    """Represent the units that an instance has admitted against one quota."""
 
-    key: int  # names the organisation
-    total: float  # units since the instance started
-    unsaid: float  # units of them that the last word did not know of
-    level: float | None  # what was left by the last word, None without one
+    key: int  # quota key of the organisation
+    total: float  # units admitted since the instance started
+    unsaid: float  # units of them not included in the last answer
+    level: float | None  # remaining units by the last answer, None without a recent one
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """Tell the account holder what an instance has admitted."""
+class UsageReport:
+    """Report the units admitted by an instance to the coordinator."""
 
-    sequence: int  # named by the answer
-    uses: list[Use]  # of the organisations that have asked since the last report
+    sequence: int  # repeated in the answer
+    uses: list[QuotaUsage]  # of the organisations with requests since the last report
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
-    """Tell what an instance takes to be left of a quota."""
+class RemainingQuota:
+    """Represent the remaining quota as estimated by an instance."""
 
-    units: float  # below zero for what is owed
-    is_fleets: bool  # whether that is of the whole quota, not of the own part
-    word_age_ms: float | None  # how old the account holder's last word is, None without one
+    units: float  # negative when in debt
+    is_fleet_wide: bool  # whether `units` is of the whole quota, not of the instance's share
+    word_age_ms: float | None  # age of the coordinator's last answer, None without one
 
 
 @dataclass(slots=True)
-class _Count:
-    """Count what was admitted of one quota since the start.
+class _AdmittedUnits:
+    """Count the units admitted against one quota since the instance started.
 
-    It outlives the share: the account holder remembers the total, and would take one that begins anew for
-    units that were given back.
+    It is kept when the quota state is dropped: the coordinator remembers the total, and would count
+    a total that restarts from zero as returned units.
     """
 
     total: float = 0.0  # units admitted
-    told: float = 0.0  # units of them that were reported
-    answered: float = 0.0  # units of them that the last word knew of
+    reported: float = 0.0  # value of `total` last reported
+    acknowledged: float = 0.0  # value of `total` included in the last answer
 
 
 @dataclass(slots=True)
-class _Share:
-    """Hold one organisation's quota as this instance sees it."""
+class _QuotaState:
+    """Hold this instance's state of one organisation's quota."""
 
-    count: _Count  # what was admitted
-    terms: Terms  # what it moves by
-    level: float  # units that are left, below zero for what is owed
-    at_ms: float  # when that was so
-    asked_at_ms: float  # when a request last asked
-    is_short: bool = False  # whether a request was turned away since the last word
-    has_word: bool = False  # whether the level is the fleet's, not the own part of it
-    word_at_ms: float = float("-inf")  # when the last word came
-    word_level: float = 0.0  # what was left by it, all that this instance admitted taken off
+    admitted: _AdmittedUnits
+    parameters: QuotaParameters
+    level: float  # remaining units, negative when in debt
+    at_ms: float  # time of `level`
+    requested_at_ms: float  # time of the last request
+    has_refused: bool = False  # whether a request was refused since the last answer
+    has_answer: bool = False  # whether `level` is the fleet's, not this instance's share
+    answered_at_ms: float = float("-inf")  # time of the last answer
+    answered_level: float = 0.0  # remaining units by it, less those admitted here that it omits
 
 
 @dataclass(slots=True)
-class _Sent:
-    """Remember a report until its answer comes."""
+class _SentReport:
+    """Hold a sent report until it is answered."""
 
-    at_ms: float  # when it was sent
-    totals: dict[int, float] = field(default_factory=dict)  # totals that it told
+    at_ms: float  # time of sending
+    totals: dict[int, float] = field(default_factory=dict)  # reported totals by quota key
 
 
-class Allowance:
-    """Admit requests; reports and words are carried by whoever owns this."""
+class QuotaLimiter:
+    """Admit requests by quota; the caller sends the reports and passes on the answers."""
 
-    def __init__(self, bounds: QuotaBounds, chance: random.Random) -> None:
-        """Start without any word."""
-        self._bounds = bounds
-        self._chance = chance
-        self._shares: dict[int, _Share] = {}
-        self._counts: dict[int, _Count] = {}
-        self._sent: OrderedDict[int, _Sent] = OrderedDict()
+    def __init__(self, tolerance: QuotaTolerance, rng: random.Random) -> None:
+        """Start without any answer from a coordinator."""
+        self._tolerance = tolerance
+        self._rng = rng
+        self._states: dict[int, _QuotaState] = {}
+        self._admitted: dict[int, _AdmittedUnits] = {}
+        self._unanswered: OrderedDict[int, _SentReport] = OrderedDict()
         self._sequence = 0
-        self._reported_at_ms = 0.0
+        self._last_report_at_ms = 0.0
 
     def admit(
         self, organisation: Organisation, cost: float, instances: int, now: float
     ) -> float | None:
-        """Return None where a request may run, else when it may come back (ms).
+        """Return None when a request is admitted, else the delay before a retry (ms).
 
-        What is left may be less than one request: the rest is owed, and nothing is admitted until it is
-        made up for. `instances` share the quota where nothing is heard of the others.
+        A request may cost more than the remaining units: the level becomes negative, and nothing is
+        admitted until it has refilled. `instances` is the number of instances that share the quota
+        evenly while there is no answer from a coordinator.
         """
         if organisation.quota is None:
             return None
         key = quota_key(organisation.id)
-        terms = make_terms(organisation.quota, self._bounds)
-        share = self._shares.get(key)
-        if share is None:
-            part = terms.first / max(instances, 1)
-            count = self._counts.setdefault(key, _Count())
-            share = self._shares[key] = _Share(count, terms, part, now, now)
-        share.terms = terms
-        share.asked_at_ms = now
-        self._move(share, instances, now)
-        if share.level <= 0:
-            share.is_short = True
-            return self._wait_ms(share, instances)
-        share.level -= cost
-        share.count.total += cost
+        parameters = make_quota_parameters(organisation.quota, self._tolerance)
+        state = self._states.get(key)
+        if state is None:
+            initial_share = parameters.initial_share / max(instances, 1)
+            admitted = self._admitted.setdefault(key, _AdmittedUnits())
+            state = self._states[key] = _QuotaState(admitted, parameters, initial_share, now, now)
+        state.parameters = parameters
+        state.requested_at_ms = now
+        self._advance(state, instances, now)
+        if state.level <= 0:
+            state.has_refused = True
+            return self._retry_delay_ms(state, instances)
+        state.level -= cost
+        state.admitted.total += cost
         return None
 
-    def is_guess(self, organisation: OrganisationId, now: float) -> bool:
-        """Tell whether what is left may have changed since the account holder's last word."""
-        share = self._shares.get(quota_key(organisation))
-        return share is not None and now - share.word_at_ms > FRESH_MS
+    def is_estimate(self, organisation: OrganisationId, now: float) -> bool:
+        """Return whether the coordinator's last answer is too old for the level to be exact."""
+        state = self._states.get(quota_key(organisation))
+        return state is not None and now - state.answered_at_ms > FRESH_ANSWER_MS
 
     def settle(self, organisation: OrganisationId, units: float) -> None:
-        """Take more off for a request that ran again, or give back what did not run (below zero)."""
-        share = self._shares.get(quota_key(organisation))
-        if share is not None:
-            share.level = min(share.level - units, share.terms.most)
-            share.count.total += units
-
-    def _move(self, share: _Share, instances: int, now: float) -> None:
-        """Move a level on in time; without a word the own part alone is used."""
-        if share.has_word and self._is_word_old(share, now):
-            share.has_word = False
-            share.level = min(share.level, share.terms.most / max(instances, 1))
-        parts = max(instances, 1)
-        most = share.terms.most if share.has_word else share.terms.most / parts
-        whole_ms, part_ms = self._elapsed(share, now)
-        gained = share.terms.per_s * (whole_ms + part_ms / parts) / MS_PER_S
-        share.level = min(share.level + gained, max(most, share.level))
-        share.at_ms = max(now, share.at_ms)
-
-    def _elapsed(self, share: _Share, now: float) -> tuple[float, float]:
-        """Return the time since the last move, while the last word was fresh and since then (ms)."""
-        elapsed_ms = max(now - share.at_ms, 0.0)
-        if not share.has_word:
+        """Charge more for a request that ran again, or return units that did not run (negative)."""
+        state = self._states.get(quota_key(organisation))
+        if state is not None:
+            state.level = min(state.level - units, state.parameters.max_level)
+            state.admitted.total += units
+
+    def _advance(self, state: _QuotaState, instances: int, now: float) -> None:
+        """Advance a level to `now`; without a current answer only this instance's share is used."""
+        if state.has_answer and self._is_answer_expired(state, now):
+            state.has_answer = False
+            state.level = min(state.level, state.parameters.max_level / max(instances, 1))
+        sharers = max(instances, 1)
+        most = (
+            state.parameters.max_level if state.has_answer else state.parameters.max_level / sharers
+        )
+        fresh_ms, stale_ms = self._elapsed_ms(state, now)
+        gained = state.parameters.per_s * (fresh_ms + stale_ms / sharers) / MS_PER_S
+        state.level = min(state.level + gained, max(most, state.level))
+        state.at_ms = max(now, state.at_ms)
+
+    def _elapsed_ms(self, state: _QuotaState, now: float) -> tuple[float, float]:
+        """Return the time since the last update while the answer was fresh, and after it (ms)."""
+        elapsed_ms = max(now - state.at_ms, 0.0)
+        if not state.has_answer:
             return 0.0, elapsed_ms
-        whole_ms = min(max(share.word_at_ms + FRESH_MS - share.at_ms, 0.0), elapsed_ms)
-        return whole_ms, elapsed_ms - whole_ms
+        fresh_ms = min(max(state.answered_at_ms + FRESH_ANSWER_MS - state.at_ms, 0.0), elapsed_ms)
+        return fresh_ms, elapsed_ms - fresh_ms
 
-    def _is_word_old(self, share: _Share, now: float) -> bool:
-        if now - share.word_at_ms > WORD_MS:
+    def _is_answer_expired(self, state: _QuotaState, now: float) -> bool:
+        if now - state.answered_at_ms > MAX_ANSWER_AGE_MS:
             return True
         return self.is_unanswered(now)
 
-    def _wait_ms(self, share: _Share, instances: int) -> float:
-        per_s = share.terms.per_s / (1 if share.has_word else max(instances, 1))
-        wait_ms = (1.0 - share.level) / per_s * MS_PER_S
-        return min(max(wait_ms, LEAST_WAIT_MS) * self._chance.uniform(*SPREAD), MOST_WAIT_MS)
-
-    def is_report_due(self, siblings: int, now: float) -> bool:
-        """Tell whether the account holder is to hear at once; `siblings` report to the same one."""
-        since_ms = now - self._reported_at_ms
-        if since_ms < max(PRESSED_LEAST_MS, PRESSED_MS_AN_INSTANCE * siblings):
+    def _retry_delay_ms(self, state: _QuotaState, instances: int) -> float:
+        per_s = state.parameters.per_s / (1 if state.has_answer else max(instances, 1))
+        delay_ms = (1.0 - state.level) / per_s * MS_PER_S
+        return min(
+            max(delay_ms, MIN_RETRY_DELAY_MS) * self._rng.uniform(*RETRY_JITTER), MAX_RETRY_DELAY_MS
+        )
+
+    def is_report_due(self, region_instances: int, now: float) -> bool:
+        """Return whether to report now; `region_instances` counts the instances of the region."""
+        since_ms = now - self._last_report_at_ms
+        if since_ms < max(
+            MIN_REPORT_INTERVAL_MS, REPORT_INTERVAL_PER_INSTANCE_MS * region_instances
+        ):
             return False
-        if self._sent and since_ms >= AGAIN_MS:
-            # The last report or its answer may be lost.
+        if self._unanswered and since_ms >= RESEND_AFTER_MS:
+            # The last report or its answer may have been lost.
             return True
-        calm = since_ms < CALM_MS
-        return any(_matters(one, siblings, calm) for one in self._shares.values())
-
-    def report(self, now: float) -> Report:
-        """Return what was admitted since the last report."""
+        is_within_interval = since_ms < REPORT_INTERVAL_MS
+        return any(
+            _affects_others(one, region_instances, is_within_interval)
+            for one in self._states.values()
+        )
+
+    def report(self, now: float) -> UsageReport:
+        """Create a report of the units admitted since the last one."""
         self._sequence += 1
-        self._reported_at_ms = now
-        sent = _Sent(now)
+        self._last_report_at_ms = now
+        sent = _SentReport(now)
         uses = []
-        for key, share in self._shares.items():
-            if share.count.total == share.count.answered and share.has_word and not share.is_short:
+        for key, state in self._states.items():
+            if (
+                state.admitted.total == state.admitted.acknowledged
+                and state.has_answer
+                and not state.has_refused
+            ):
                 continue
-            if len(uses) >= MOST_USES:
+            if len(uses) >= MAX_USES:
                 break
-            share.count.told = share.count.total
-            sent.totals[key] = share.count.total
-            level = share.word_level if now - share.word_at_ms < REMEMBERED_MS else None
+            state.admitted.reported = state.admitted.total
+            sent.totals[key] = state.admitted.total
+            level = (
+                state.answered_level if now - state.answered_at_ms < MAX_HANDOVER_AGE_MS else None
+            )
             uses.append(
-                Use(key, share.count.total, share.count.total - share.count.answered, level)
+                QuotaUsage(
+                    key,
+                    state.admitted.total,
+                    state.admitted.total - state.admitted.acknowledged,
+                    level,
+                )
             )
-        self._sent[self._sequence] = sent
-        if len(self._sent) > MOST_OPEN_REPORTS:
-            self._sent.popitem(last=False)
-        return Report(self._sequence, uses)
+        self._unanswered[self._sequence] = sent
+        if len(self._unanswered) > MAX_UNANSWERED_REPORTS:
+            self._unanswered.popitem(last=False)
+        return UsageReport(self._sequence, uses)
 
     def is_unanswered(self, now: float) -> bool:
-        """Tell whether the account holder has fallen silent."""
-        oldest = next(iter(self._sent.values()), None)
-        return oldest is not None and now - oldest.at_ms > ANSWER_MS
+        """Return whether the coordinator has failed to answer within `ANSWER_TIMEOUT_MS`."""
+        oldest = next(iter(self._unanswered.values()), None)
+        return oldest is not None and now - oldest.at_ms > ANSWER_TIMEOUT_MS
 
-    def take_word(self, sequence: int, levels: dict[int, float], now: float) -> None:
-        """Take the account holder's answer to a report; one that was overtaken says nothing."""
-        sent = self._sent.get(sequence)
+    def apply_answer(self, sequence: int, levels: dict[int, float], now: float) -> None:
+        """Apply the coordinator's answer to a report, unless a newer one has been applied."""
+        sent = self._unanswered.get(sequence)
         if sent is None:
             return
-        for older in [one for one in self._sent if one <= sequence]:
-            del self._sent[older]
+        for older in [one for one in self._unanswered if one <= sequence]:
+            del self._unanswered[older]
         for key, level in levels.items():
-            share = self._shares.get(key)
-            if share is None or key not in sent.totals:
+            state = self._states.get(key)
+            if state is None or key not in sent.totals:
                 continue
-            share.count.answered = sent.totals[key]
-            share.level = min(level - (share.count.total - share.count.answered), share.terms.most)
-            share.word_level = share.level
-            share.at_ms = now
-            share.word_at_ms = now
-            share.has_word = True
-            share.is_short = False
+            state.admitted.acknowledged = sent.totals[key]
+            state.level = min(
+                level - (state.admitted.total - state.admitted.acknowledged),
+                state.parameters.max_level,
+            )
+            state.answered_level = state.level
+            state.at_ms = now
+            state.answered_at_ms = now
+            state.has_answer = True
+            state.has_refused = False
 
     def forget_idle(self, now: float) -> None:
-        """Forget what is left of organisations that have asked nothing for long."""
-        self._shares = {
+        """Drop the state of organisations idle for `IDLE_MS`, unless they are in debt."""
+        self._states = {
             key: one
-            for key, one in self._shares.items()
-            if now - one.asked_at_ms < IDLE_MS or _owes(one, now)
+            for key, one in self._states.items()
+            if now - one.requested_at_ms < IDLE_MS or _is_in_debt(one, now)
         }
 
-    def left(self, organisation: OrganisationId, now: float) -> Left | None:
-        """Return what is taken to be left of a quota, None where it is unused here."""
-        share = self._shares.get(quota_key(organisation))
-        if share is None:
+    def left(self, organisation: OrganisationId, now: float) -> RemainingQuota | None:
+        """Return the estimated remaining quota, None when it is unused here."""
+        state = self._states.get(quota_key(organisation))
+        if state is None:
             return None
-        age_ms = now - share.word_at_ms if math.isfinite(share.word_at_ms) else None
-        return Left(share.level, share.has_word, age_ms)
+        age_ms = now - state.answered_at_ms if math.isfinite(state.answered_at_ms) else None
+        return RemainingQuota(state.level, state.has_answer, age_ms)
 
 
-def _owes(share: _Share, now: float) -> bool:
-    """Tell whether a quota is still owed, also if nobody else has used it since."""
-    gained = share.terms.per_s * max(now - share.at_ms, 0.0) / MS_PER_S
-    return share.level + gained < 0
+def _is_in_debt(state: _QuotaState, now: float) -> bool:
+    """Return whether a quota is still in debt, assuming that nobody else has used it since."""
+    gained = state.parameters.per_s * max(now - state.at_ms, 0.0) / MS_PER_S
+    return state.level + gained < 0
 
 
-def _matters(share: _Share, siblings: int, calm: bool) -> bool:
-    """Tell whether what was admitted since the last report changes what others may admit."""
-    if share.is_short:
+def _affects_others(state: _QuotaState, region_instances: int, is_within_interval: bool) -> bool:
+    """Return whether the units admitted since the last report affect what others may admit."""
+    if state.has_refused:
         return True
-    if share.count.total == share.count.told and share.has_word:
+    if state.admitted.total == state.admitted.reported and state.has_answer:
         return False
-    if not calm or not share.has_word:
+    if not is_within_interval or not state.has_answer:
         return True
-    # All siblings together then spend at most half of what is left before it is told.
-    return share.count.total - share.count.told > max(share.level, 0.0) / (2 * max(siblings, 1))
+    # This way all instances together spend at most half of the remaining units before reporting.
+    return state.admitted.total - state.admitted.reported > max(state.level, 0.0) / (
+        2 * max(region_instances, 1)
+    )
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -38,7 +38,14 @@
     _server_limits,
 )
 from sparline.quarantine import CrashTable, _crash_table
-from sparline.quotas import NO_ROOM, Allowance, QuotaBounds, Terms, make_terms, quota_key
+from sparline.quotas import (
+    NO_TOLERANCE,
+    QuotaLimiter,
+    QuotaParameters,
+    QuotaTolerance,
+    make_quota_parameters,
+    quota_key,
+)
 from sparline.routes import Organisation
 from sparline.schema._gossip import MemberNote, MemberPhase
 
@@ -81,7 +88,7 @@
     now_ms: float = 1_000_000.0
     instances: dict[str, FakeInstance] = field(default_factory=dict)
     servers: dict[str, list[str]] = field(default_factory=dict)  # by region
-    quota_bounds: QuotaBounds = NO_ROOM  # what is borne over a quota
+    quota_bounds: QuotaTolerance = NO_TOLERANCE  # what is borne over a quota
     organisations: dict[str, Organisation] = field(default_factory=dict)  # by name
     quota_bytes: int = 0  # of datagrams about quotas
     _starts: list[tuple[float, str, RegionName]] = field(default_factory=list)
@@ -133,11 +140,11 @@
         one.gossip.tell(one.quotas.due())
         return wait_ms
 
-    def quota_terms(self, key: int) -> Terms | None:
+    def quota_terms(self, key: int) -> QuotaParameters | None:
         """Return the terms of an organisation's quota."""
         for one in self.organisations.values():
             if quota_key(one.id) == key and one.quota is not None:
-                return make_terms(one.quota, self.quota_bounds)
+                return make_quota_parameters(one.quota, self.quota_bounds)
         return None
 
     def step(self) -> None:
@@ -178,7 +185,9 @@
                 lambda _server_id, _shown_log: None,
             ),
         )
-        quotas = QuotaExchange(members, Allowance(self.quota_bounds, self.chance), self.quota_terms)
+        quotas = QuotaExchange(
+            members, QuotaLimiter(self.quota_bounds, self.chance), self.quota_terms
+        )
         server_limits = ServerLimitTable()
         server_limits._rng = random.Random(ip)
         sources = GossipSources(
