--- a/sparline/peers/__init__.py
+++ b/sparline/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Peers: links between instances, membership, and how news spreads."""
+"""Peer-to-peer layer: links between instances, membership and dissemination of updates."""
 
 from sparline.peers._codec import MESSAGE_TYPES, Message, decode, encode
 from sparline.peers._link import EncodedMessage, PeerLink
--- a/sparline/peers/_codec.py
+++ b/sparline/peers/_codec.py
@@ -1,4 +1,4 @@
-"""Messages between instances as CBOR."""
+"""CBOR encoding of the messages between instances."""
 
 from typing import get_args
 
@@ -48,24 +48,24 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as sent."""
+    """Encode a message."""
     return pack(message)
 
 
 def encode_frame(encoded: list[bytes]) -> bytes:
-    """Return one frame that carries several encoded messages."""
+    """Encode a frame that carries several encoded messages."""
     return cbor2.dumps(encoded)
 
 
 def decode_frame(data: bytes | str) -> Result[list[bytes], str]:
-    """Read the encoded messages of one frame."""
+    """Split a frame into its encoded messages."""
     if isinstance(data, str):
         return Err("expected a binary frame, found a text frame")
     return unpack(data, list[bytes])
 
 
 def decode(data: bytes | str) -> Result[Message, str]:
-    """Read a message as received."""
+    """Decode a received message."""
     if isinstance(data, str):
         return Err("expected a binary frame, found a text frame")
     return unpack(data, Message)
--- a/sparline/peers/_link.py
+++ b/sparline/peers/_link.py
@@ -1,4 +1,4 @@
-"""One control link to one peer: a task reads, a task writes."""
+"""Control link to one peer, with one reader and one writer task."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,16 +14,16 @@
 from sparline.peers._codec import Message, decode, decode_frame, encode, encode_frame
 from sparline.schema._messages import Heartbeat, Hello
 
-# Messages that may wait for a slow peer before its link is dropped.
+# Maximum number of messages queued for a slow peer before its link is dropped.
 MAX_QUEUED = 500
 
 
 @dataclass(frozen=True, slots=True)
 class EncodedMessage:
-    """Hold a message that is encoded once and sent to many peers."""
+    """Message encoded once so that it can be sent to many peers."""
 
-    channel: str  # name of the message's type
-    data: bytes  # as sent
+    channel: str  # name of the message type
+    data: bytes  # encoded message
 
     @classmethod
     def of(cls, message: Message) -> "EncodedMessage":
@@ -32,23 +32,23 @@
 
 
 class LinkEnd(Enum):
-    """Say how a link ended."""
+    """Reason why a link ended."""
 
-    CLOSED = "closed"  # one side closed it on purpose; the peer lives
-    LOST = "lost"  # broken or silent; the peer may be gone
+    CLOSED = "closed"  # closed deliberately by either side; the peer is alive
+    LOST = "lost"  # broken or timed out; the peer may be gone
 
 
 class PeerLink:
-    """Carry control messages to and from one incarnation of one peer."""
+    """Exchange control messages with one incarnation of a peer."""
 
     def __init__(
         self, connection: Connection, peer: Hello, dialled: bool, metrics: Metrics
     ) -> None:
-        """Take over a connection on which both sides have said hello."""
+        """Take ownership of a connection on which hellos have been exchanged."""
         self.peer = peer
-        self.dialled = dialled  # whether this side opened the link
-        self.heard_at_ms = now_ms()  # last message from the peer
-        self.heartbeat: Heartbeat | None = None  # newest heartbeat of the peer
+        self.dialled = dialled  # whether this instance opened the link
+        self.heard_at_ms = now_ms()  # when the last valid frame arrived
+        self.heartbeat: Heartbeat | None = None  # latest heartbeat received
         self.closed = False
         self._end = LinkEnd.CLOSED
         self._connection = connection
@@ -56,7 +56,7 @@
         self._queue: Queue[EncodedMessage] = Queue(MAX_QUEUED)
 
     def send(self, message: Message | EncodedMessage) -> None:
-        """Queue a message; a peer that takes nothing loses its link."""
+        """Queue a message; drop the link if the queue is full."""
         known = message if isinstance(message, EncodedMessage) else EncodedMessage.of(message)
         try:
             self._queue.put_nowait(known)
@@ -65,7 +65,7 @@
             self._lose()
 
     def run(self, receive: Callable[["PeerLink", Message], None]) -> LinkEnd:
-        """Read until the link ends."""
+        """Pass received messages to a callback until the link ends."""
         writer = gevent.spawn(self._write)
         try:
             while not self.closed:
@@ -80,7 +80,7 @@
             writer.kill()
 
     def drop_if_silent(self, timeout_ms: float) -> None:
-        """Give up a peer that has said nothing for too long."""
+        """Drop the link if nothing was received within the timeout."""
         if now_ms() - self.heard_at_ms > timeout_ms:
             self._metrics.peer_events.labels("silent").inc()
             self._lose()
@@ -127,7 +127,7 @@
         self._metrics.control_bytes.labels(channel, direction).inc(size)
 
     def close(self) -> None:
-        """Close the link."""
+        """Close the link; repeated calls have no effect."""
         if not self.closed:
             self.closed = True
             gevent.spawn(self._connection.close)
--- a/sparline/peers/_membership.py
+++ b/sparline/peers/_membership.py
@@ -1,4 +1,4 @@
-"""Which instances live: the platform's list, corrected by what is seen first-hand."""
+"""Liveness of instances: the platform's list, corrected by direct observation."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,32 +13,34 @@
 from sparline.schema._fleet import FleetMember, FleetState
 from sparline.schema._messages import Hello, InstanceState, MemberBrief
 
-# An instance that could not be reached counts as down for so long, doubled each time.
+# How long an unreachable instance counts as down; doubled after each failure up to the maximum.
 DOWN_FIRST_MS = 1_000.0
 DOWN_LONGEST_MS = 15_000.0
 
 
 @dataclass(slots=True)
 class _Down:
-    """Hold the failures to reach one instance."""
+    """Failed attempts to reach one instance."""
 
-    failures: int  # in a row
-    until_ms: float  # when it is tried again
+    failures: int  # consecutive failures
+    until_ms: float  # time of the next attempt
 
 
 class Membership:
-    """Answer which instances live and which of them has a duty."""
+    """Track which instances are live and which of them is assigned each duty."""
 
     def __init__(self, self_hello: Hello, summaries: SummaryTable) -> None:
-        """Start with the instance itself alone."""
-        self.catalog = Catalog()  # replaced when the list changes
+        """Start with this instance as the only member."""
+        self.catalog = Catalog()  # replaced when the platform's list changes
         self.self_hello = self_hello
         self.self_id = InstanceId(self_hello.instance_id)
         self.state = InstanceState.starting  # state of this instance
         self.uptime_ms: Callable[[], int] = lambda: 0
-        self.platform_cut: Callable[[], bool] = lambda: False  # whether reading it fails here
+        self.platform_cut: Callable[[], bool] = lambda: False  # whether platform reads fail here
         self._summaries = summaries
-        self.contacts: set[InstanceId] = set()  # peers elsewhere that news goes to
+        self.contacts: set[InstanceId] = (
+            set()
+        )  # peers in other zones and regions that receive updates
         self._links: dict[InstanceId, PeerLink] = {}
         self._down: dict[InstanceId, _Down] = {}
 
@@ -52,7 +54,7 @@
         return [link for link in self._links.values() if not link.closed]
 
     def note_link(self, link: PeerLink) -> None:
-        """Take a new link; of two to one incarnation both sides keep the same one."""
+        """Register a new link; on duplicates to one incarnation both sides keep the same link."""
         peer_id = InstanceId(link.peer.instance_id)
         self._down.pop(peer_id, None)
         old = self.link_of(peer_id)
@@ -68,38 +70,38 @@
         return self.self_id if link.dialled else link.peer.instance_id
 
     def note_ended(self, link: PeerLink, end: LinkEnd) -> bool:
-        """Drop a link that ended; tell whether its peer may be gone."""
+        """Remove an ended link; return whether its peer may be gone."""
         peer_id = InstanceId(link.peer.instance_id)
         if self._links.get(peer_id) is not link:
             return False
         del self._links[peer_id]
-        # A sibling closes a link only when it stops; others also when they need it no more.
+        # Siblings close a link only on shutdown; other peers also when they no longer need it.
         if end is LinkEnd.CLOSED and not self._is_sibling(link.peer.availability_zone):
             return False
         self.note_unreachable(peer_id)
         return True
 
     def note_unreachable(self, instance_id: InstanceId) -> None:
-        """Leave an instance alone for a while, longer each time."""
+        """Record a failure to reach an instance and back off exponentially."""
         down = self._down.get(instance_id)
         failures = down.failures + 1 if down else 1
         pause_ms = doubled_ms(DOWN_FIRST_MS, DOWN_LONGEST_MS, failures)
         self._down[instance_id] = _Down(failures, now_ms() + pause_ms)
 
     def may_dial(self, instance_id: InstanceId) -> bool:
-        """Tell whether it is time to try an instance."""
+        """Return whether an instance is not in its backoff period."""
         down = self._down.get(instance_id)
         return down is None or now_ms() >= down.until_ms
 
     def reachable(self, instance_id: InstanceId) -> bool:
-        """Tell whether nothing first-hand speaks against an instance."""
+        """Return whether no direct observation marks an instance as leaving or unreachable."""
         link = self.link_of(instance_id)
         if link is not None:
             return _state_of(link) is not InstanceState.leaving
         return self.may_dial(instance_id)
 
     def is_live(self, member: FleetMember) -> bool:
-        """Tell whether an instance lives and is not leaving."""
+        """Return whether an instance is live and not leaving."""
         instance_id = InstanceId(member.id)
         if instance_id == self.self_id:
             return self.state is not InstanceState.leaving
@@ -115,7 +117,7 @@
         return any(one.state is InstanceState.live for one in told)
 
     def _is_down(self, member: FleetMember) -> bool:
-        """Tell whether an instance could not be reached; a sibling until it is reached again."""
+        """Return whether an instance counts as down; a sibling does until it is reached again."""
         down = self._down.get(InstanceId(member.id))
         if down is None:
             return False
@@ -139,14 +141,15 @@
         return [InstanceId(one.id) for one in members if self.is_live(one)]
 
     def has_zone_duty(self, duty: str) -> bool:
-        """Tell whether this instance has a duty of its zone."""
+        """Return whether this instance is assigned a duty of its zone."""
         live = self.live_in_zone(self.self_hello.availability_zone)
         return first(duty, live or [self.self_id]) == self.self_id
 
     def has_platform_duty(self) -> bool:
-        """Tell whether this instance reads the platform for its region.
+        """Return whether this instance reads the platform for its region.
 
-        Whoever lately failed to read it gives way; if all failed, the first tries on.
+        Instances whose recent reads failed are passed over; if all failed, the highest-ranked
+        live instance keeps trying.
         """
         live = self.live_in_region(self.self_hello.region) or [self.self_id]
         able = [one for one in live if not self._is_platform_cut(one)]
@@ -162,14 +165,14 @@
         return told is not None and told.platform_cut
 
     def _told_of(self, instance_id: InstanceId) -> MemberBrief | None:
-        """Return what the summary of its zone tells of an instance."""
+        """Return the entry for an instance in its zone's summary."""
         member = self.catalog.instances.get(instance_id)
         held = self._summaries.get(ZoneName(member.availability_zone)) if member else None
         members = held.summary.members if held else []
         return next((one for one in members if one.instance_id == instance_id), None)
 
     def sees_whole_region(self, region: str) -> bool:
-        """Tell whether every instance that the list calls live can be seen."""
+        """Return whether every instance listed as live is seen as live or has announced leaving."""
         members = self.catalog.instances_in_region(region)
         listed = [one for one in members if one.state is FleetState.live]
         return all(self.is_live(one) or self._told_leaving(one) for one in listed)
@@ -179,7 +182,7 @@
         return link is not None and _state_of(link) is InstanceState.leaving
 
     def zone_members(self) -> list[MemberBrief]:
-        """Return the instances of this zone with which a link stands, and this one."""
+        """Return this instance and the linked instances of its zone that have sent a heartbeat."""
         own = self.self_hello
         members = [
             MemberBrief(
@@ -201,7 +204,7 @@
         return members
 
     def known_start(self, instance_id: InstanceId) -> tuple[Incarnation, int] | None:
-        """Return an instance's incarnation and its age at the least, None where unknown."""
+        """Return an instance's incarnation and a lower bound of its uptime, None if unknown."""
         if instance_id == self.self_id:
             return Incarnation(self.self_hello.incarnation), self.uptime_ms()
         link = self.link_of(instance_id)
--- a/sparline/peers/_mesh.py
+++ b/sparline/peers/_mesh.py
@@ -1,4 +1,4 @@
-"""Links to peers: whom to dial, whom to accept."""
+"""Connection management for control links: which peers to dial and which to accept."""
 
 import gevent
 from result import Err, Ok, Result
@@ -19,39 +19,39 @@
 from sparline.schema._settings import Address
 
 HELLO_TIMEOUT_S = 2.0
-# Longest message: a record of a megabyte and its frame.
+# Maximum WebSocket message size: leaves room for a 1 MB record and its framing.
 MAX_MESSAGE_BYTES = 4_000_000
-# A link that was dialled for one purpose is kept for so long after its last use.
+# How long a link requested through `want` is kept after the latest request.
 WANTED_MS = 10_000.0
-# Links outside the zone get fewer heartbeats and may be silent so many times longer.
+# Multiplier of the silence timeout for links to other zones, which carry fewer heartbeats.
 FAR_SILENCE = 2
 
 
 class Receiver:
-    """Take what links bring; the instance provides the methods."""
+    """Callback interface for link events, implemented by the instance."""
 
     def on_link(self, link: PeerLink) -> None:
-        """Note a new link."""
+        """Handle a newly opened link."""
 
     def on_lost(self, link: PeerLink) -> None:
-        """Note a link that ended."""
+        """Handle a link whose peer may be gone."""
 
     def on_message(self, link: PeerLink, message: Message) -> None:
-        """Take a message."""
+        """Handle a message received on a link."""
 
 
 class Dialer:
-    """Open connections to peers, always from this instance's own address."""
+    """Open connections to peers, bound to this instance's own source address."""
 
     def __init__(self, source_ip: str, timeout_ms: float) -> None:
-        """Bound the time that a connection may take."""
-        self.timeout_ms = timeout_ms  # longest wait for a connection
+        """Set the source address and the connection timeout."""
+        self.timeout_ms = timeout_ms  # connection timeout
         self._source_ip = source_ip
 
     def dial(
         self, address: Address, hello: Hello, expected: InstanceId | None
     ) -> Result[tuple[Connection, Hello], str]:
-        """Open a connection to a peer; another instance at the address is refused."""
+        """Open a connection and exchange hellos; fail if another instance answers."""
         opened = self._connect(address)
         if opened.is_err():
             return Err(opened.unwrap_err())
@@ -76,12 +76,12 @@
                     ping_interval=None,
                     max_size=MAX_MESSAGE_BYTES,
                     proxy=None,
-                    # The link outlives this call; whoever holds it closes it.
+                    # The connection outlives this call; its owner closes it.
                     legacy=True,
                 )
             )
         except (OSError, InvalidHandshake, TimeoutError, ConnectionClosed, EOFError) as error:
-            return Err(f"no connection: {error}")
+            return Err(f"connection failed: {error}")
 
 
 def _exchange_hello(connection: Connection, hello: Hello) -> Result[Hello, str]:
@@ -89,17 +89,17 @@
         connection.send(encode(hello))
         return read_hello(connection)
     except ConnectionClosed:
-        return Err("connection closed before hello")
+        return Err("connection closed before Hello was received")
 
 
 def read_hello(connection: Connection) -> Result[Hello, str]:
-    """Read the first message of a connection."""
+    """Receive the Hello that must be the first message of a connection."""
     try:
         message = decode(connection.recv(timeout=HELLO_TIMEOUT_S))
     except TimeoutError:
-        return Err("no hello in time")
+        return Err("timed out waiting for Hello")
     except ConnectionClosed:
-        return Err("connection closed before hello")
+        return Err("connection closed before Hello was received")
     match message:
         case Ok(Hello() as hello):
             return Ok(hello)
@@ -110,11 +110,12 @@
 
 
 class Mesh:
-    """Keep the links that this instance needs.
+    """Maintain the links that this instance needs.
 
-    Inside a zone every pair is linked. To each other zone of the region one link
-    is dialled. One instance of a region dials each other region. So the number of
-    links grows with the zone and with regions per instance, not with the fleet.
+    Instances of a zone form a full mesh. Each instance dials one instance in every
+    other zone of its region, and one instance of the region dials each other region.
+    The number of links therefore scales with the size of the zone and with the number
+    of regions per instance, not with the size of the fleet.
     """
 
     def __init__(
@@ -125,7 +126,7 @@
         dialer: Dialer,
         silence_ms: float,
     ) -> None:
-        """Start with no link; a link that is silent for too long is lost."""
+        """Start without links; a link silent for longer than `silence_ms` is dropped."""
         self._membership = membership
         self._receiver = receiver
         self._metrics = metrics
@@ -135,12 +136,12 @@
         self._wanted: dict[InstanceId, float] = {}
 
     def want(self, instance_id: InstanceId) -> PeerLink | None:
-        """Return a link to an instance; where there is none, one is dialled."""
+        """Return the link to an instance, if any, and request that one be kept or dialled."""
         self._wanted[instance_id] = now_ms() + WANTED_MS
         return self._membership.link_of(instance_id)
 
     def maintain(self) -> None:
-        """Dial what is missing and close what nobody needs."""
+        """Dial missing links, drop silent ones and close those no longer needed."""
         needed = self._needed()
         for instance_id in needed:
             if self._should_dial(instance_id):
@@ -193,7 +194,7 @@
         return {contact for group in groups if (contact := self._contact(group))}
 
     def _contact(self, group: list[FleetMember]) -> InstanceId | None:
-        """Return the first instance of a group that may be reached."""
+        """Return the preferred contact of a group: a reachable one, else one due for a retry."""
         order = ranked(self._membership.self_id, [InstanceId(one.id) for one in group])
         linked = [one for one in order if self._membership.reachable(one)]
         due = [one for one in order if self._membership.may_dial(one)]
@@ -214,12 +215,12 @@
             case Err(reason):
                 self._metrics.peer_events.labels("dial_failed").inc()
                 self._membership.note_unreachable(instance_id)
-                log.debug("peers: no link to {}: {}", instance_id, reason)
+                log.debug("peers: could not open a link to {}: {}", instance_id, reason)
             case Ok((connection, peer)):
                 self.serve(connection, peer, dialled=True)
 
     def accept(self, connection: Connection, peer: Hello) -> None:
-        """Serve a control connection that a peer opened, until it ends."""
+        """Serve an inbound control connection until it ends."""
         connection.send(encode(self._membership.self_hello))
         self.serve(connection, peer, dialled=False)
 
--- a/sparline/peers/_rendezvous.py
+++ b/sparline/peers/_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every instance with the same view makes the same choice."""
+"""Rendezvous hashing: instances with the same view make the same choice."""
 
 from collections.abc import Iterable
 from typing import TypeVar
@@ -9,10 +9,10 @@
 
 
 def ranked(key: str, ids: Iterable[Id]) -> list[Id]:
-    """Return ids in the order in which they take on a duty."""
+    """Return ids by descending hash for a key."""
     return sorted(ids, key=lambda one: hash64(f"{key}\n{one}"), reverse=True)
 
 
 def first(key: str, ids: Iterable[Id]) -> Id | None:
-    """Return the id that takes on a duty, None where there is none."""
+    """Return the id with the highest hash for a key, None if there are no ids."""
     return max(ids, key=lambda one: hash64(f"{key}\n{one}"), default=None)
--- a/sparline/peers/_server.py
+++ b/sparline/peers/_server.py
@@ -1,4 +1,4 @@
-"""End the port where peers connect."""
+"""Shutdown of the server that accepts peer connections."""
 
 import socket
 
@@ -6,17 +6,17 @@
 
 
 def stop_serving(server: Server) -> None:
-    """Close a port that `serve_forever` serves, and every connection of it.
+    """Stop a server that runs `serve_forever` and close all its connections.
 
-    The event loop aborts the process where a socket is closed while it is still watched, once its
-    number is used again. The server closes both of its sockets and ends the watch only of the one
-    that woke it, so both are made to wake it, in one step, before they are closed.
+    If a socket is closed while the event loop still watches it, the loop aborts the process once
+    the file descriptor is reused. The server closes both of its sockets but removes the watcher
+    only of the one that became ready, so both are made ready at once before they are closed.
     """
     try:
         server.shutdown_notifier.send(b"x")
         server.socket.shutdown(socket.SHUT_RDWR)
     except OSError:
-        # It was stopped before; then nothing is watched any more.
+        # Already stopped; no watcher remains.
         return
     server.socket_closed.wait()
     server.shutdown()
--- a/sparline/peers/_spread.py
+++ b/sparline/peers/_spread.py
@@ -1,4 +1,4 @@
-"""Spread of summaries and records: to whom a piece of news goes next."""
+"""Dissemination of summaries and records: selection of the next recipients."""
 
 from enum import Enum
 
@@ -8,7 +8,7 @@
 
 
 class Scope(Enum):
-    """Name how far away a peer is."""
+    """Distance between this instance and a peer."""
 
     SELF = "self"
     SIBLING = "sibling"
@@ -17,18 +17,18 @@
 
 
 def scope_of(own: Hello, peer: Hello) -> Scope:
-    """Return how far away a peer is."""
+    """Return the distance class of a peer."""
     if peer.region != own.region:
         return Scope.REGION
     return Scope.SIBLING if peer.availability_zone == own.availability_zone else Scope.ZONE
 
 
 def next_hops(membership: Membership, came_from: Scope, own_region_news: bool) -> list[PeerLink]:
-    """Return the links that news goes to next, so that each instance gets it about once.
+    """Return the links to forward an update on, so that each instance gets it about once.
 
-    News from outside the zone goes to siblings. News made here or brought from another
-    region goes to the other zones. News of this region goes to the other regions that
-    this instance has a contact in, whoever brought it.
+    Updates from outside the zone go to siblings. Updates that originate here or arrive from
+    another region go to siblings and to the other zones. Updates about this region also go to
+    the other regions in which this instance has a contact, whichever peer sent them.
     """
     targets = {
         Scope.SELF: {Scope.SIBLING, Scope.ZONE},
--- a/sparline/peers/tests/test_server.py
+++ b/sparline/peers/tests/test_server.py
@@ -1,11 +1,14 @@
-"""A port that is closed leaves nothing that is watched."""
+"""Stopping a server must leave no event-loop watcher on its closed sockets.
+
+A remaining watcher aborts the process once the file descriptor is reused.
+"""
 
 import subprocess
 import sys
 from pathlib import Path
 
 ROOT = Path(__file__).parents[3]
-# Serves, stops, and then uses the numbers of the closed sockets again.
+# Starts and stops servers, then reuses the file descriptors of the closed sockets.
 STOPS_AND_GOES_ON = """
 from gevent import monkey
 monkey.patch_all()
--- a/sparline/peers/tests/test_spread.py
+++ b/sparline/peers/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""News reaches every instance about once, whoever has the links to other zones and regions."""
+"""Updates reach all zones and regions over a bounded number of links and platform calls."""
 
 from collections.abc import Iterator
 
@@ -23,7 +23,7 @@
 
 
 def count(fleet: LocalFleet, channel: str) -> int:
-    """Return how many messages arrived at all instances together."""
+    """Return the number of messages received by all instances."""
     labels = {"channel": channel, "direction": "in"}
     values = (
         one.metrics.registry.get_sample_value("sparline_control_messages_total", labels)
@@ -46,7 +46,7 @@
             for member in one.membership.catalog.instances.values()
         )
 
-    fleet.until(all_live, "everyone counts as live")
+    fleet.until(all_live, "every instance is seen as live")
 
 
 def test_links_do_not_grow_with_the_fleet(fleet: LocalFleet) -> None:
@@ -72,7 +72,7 @@
     revision = fleet.platform.publish("services/news", '{"kind": "service", "name": "news"}')
     fleet.until(
         lambda: all(one.store.complete_revision >= revision for one in fleet.instances.values()),
-        "the file is everywhere",
+        "the file has reached every instance",
     )
     readers = {
         name for name, calls in fleet.platform.callers.items() if calls > before.get(name, 0)
@@ -86,7 +86,7 @@
         far = fleet.instances["zone-a-0"].membership
         member = far.catalog.instances["zone-b-0"]
         fleet.until(lambda: far.link_of("zone-b-0") is not None, "the regions are linked")
-        # No regular heartbeat goes to another region from here on.
+        # Suppresses periodic heartbeats to other regions.
         monkeypatch.setattr(_control, "FAR_EVERY", 10**9)
         fleet.instances["zone-b-0"].drain()
         assert far.link_of("zone-b-0") is not None
