--- a/sparline/peers/tests/test_server.py
+++ b/sparline/peers/tests/test_server.py
@@ -9,7 +9,7 @@
 
 ROOT = Path(__file__).parents[3]
 # Starts and stops servers, then reuses the file descriptors of the closed sockets.
-STOPS_AND_GOES_ON = """
+REUSE_DESCRIPTORS_SCRIPT = """
 from gevent import monkey
 monkey.patch_all()
 import socket
@@ -32,17 +32,17 @@
     one.close()
     other.close()
     gevent.sleep(0.001)
-print("went on")
+print("completed")
 """
 
 
-def test_a_stopped_server_leaves_no_watch_that_aborts_the_process() -> None:
-    ended = subprocess.run(
-        [sys.executable, "-c", STOPS_AND_GOES_ON],
+def test_stopped_server_leaves_no_watcher_that_aborts_the_process() -> None:
+    result = subprocess.run(
+        [sys.executable, "-c", REUSE_DESCRIPTORS_SCRIPT],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=60,
         check=False,
     )
-    assert (ended.returncode, ended.stdout) == (0, "went on\n"), ended.stderr
+    assert (result.returncode, result.stdout) == (0, "completed\n"), result.stderr
--- a/sparline/peers/tests/test_spread.py
+++ b/sparline/peers/tests/test_spread.py
@@ -26,8 +26,8 @@
     """Return the number of messages received by all instances."""
     labels = {"channel": channel, "direction": "in"}
     values = (
-        one.metrics.registry.get_sample_value("sparline_control_messages_total", labels)
-        for one in fleet.instances.values()
+        instance.metrics.registry.get_sample_value("sparline_control_messages_total", labels)
+        for instance in fleet.instances.values()
     )
     return int(sum(value or 0 for value in values))
 
@@ -38,18 +38,18 @@
         assert seen == {zone.name for zone in ZONES} - {instance.settings.availability_zone}
 
 
-def test_every_instance_counts_every_other_as_live(fleet: LocalFleet) -> None:
+def test_every_instance_sees_every_other_as_live(fleet: LocalFleet) -> None:
     def all_live() -> bool:
         return all(
-            one.membership.is_live(member)
-            for one in fleet.instances.values()
-            for member in one.membership.catalog.instances.values()
+            instance.membership.is_live(member)
+            for instance in fleet.instances.values()
+            for member in instance.membership.catalog.instances.values()
         )
 
     fleet.until(all_live, "every instance is seen as live")
 
 
-def test_links_do_not_grow_with_the_fleet(fleet: LocalFleet) -> None:
+def test_link_count_does_not_grow_with_fleet_size(fleet: LocalFleet) -> None:
     zones, regions = len(ZONES), 3
     for name, instance in fleet.instances.items():
         siblings = (
@@ -67,27 +67,29 @@
         )
 
 
-def test_a_file_reaches_all_with_few_platform_calls(fleet: LocalFleet) -> None:
+def test_file_reaches_all_instances_with_few_platform_calls(fleet: LocalFleet) -> None:
     before = dict(fleet.platform.callers)
     revision = fleet.platform.publish("services/news", '{"kind": "service", "name": "news"}')
     fleet.until(
-        lambda: all(one.store.complete_revision >= revision for one in fleet.instances.values()),
+        lambda: all(
+            instance.store.complete_revision >= revision for instance in fleet.instances.values()
+        ),
         "the file has reached every instance",
     )
     readers = {
         name for name, calls in fleet.platform.callers.items() if calls > before.get(name, 0)
     }
     assert len(readers) <= 3 + 1
-    assert len({one.store.digest for one in fleet.instances.values()}) == 1
+    assert len({instance.store.digest for instance in fleet.instances.values()}) == 1
 
 
-def test_leaving_is_told_to_other_regions_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_leaving_is_announced_to_other_regions_immediately(monkeypatch: pytest.MonkeyPatch) -> None:
     with LocalFleet(TWO_REGIONS) as fleet:
-        far = fleet.instances["zone-a-0"].membership
-        member = far.catalog.instances["zone-b-0"]
-        fleet.until(lambda: far.link_of("zone-b-0") is not None, "the regions are linked")
+        remote = fleet.instances["zone-a-0"].membership
+        member = remote.catalog.instances["zone-b-0"]
+        fleet.until(lambda: remote.link_of("zone-b-0") is not None, "the regions are linked")
         # Suppresses periodic heartbeats to other regions.
         monkeypatch.setattr(_control, "FAR_EVERY", 10**9)
         fleet.instances["zone-b-0"].drain()
-        assert far.link_of("zone-b-0") is not None
-        assert not far.is_live(member)
+        assert remote.link_of("zone-b-0") is not None
+        assert not remote.is_live(member)
