--- a/sparline/peers/_link.py
+++ b/sparline/peers/_link.py
@@ -15,7 +15,7 @@
 from sparline.schema._messages import Heartbeat, Hello
 
 # Maximum number of messages queued for a slow peer before its link is dropped.
-MAX_QUEUED = 500
+MAX_QUEUED_MESSAGES = 500
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,16 +53,16 @@
         self._end = LinkEnd.CLOSED
         self._connection = connection
         self._metrics = metrics
-        self._queue: Queue[EncodedMessage] = Queue(MAX_QUEUED)
+        self._queue: Queue[EncodedMessage] = Queue(MAX_QUEUED_MESSAGES)
 
     def send(self, message: Message | EncodedMessage) -> None:
         """Queue a message; drop the link if the queue is full."""
-        known = message if isinstance(message, EncodedMessage) else EncodedMessage.of(message)
+        encoded = message if isinstance(message, EncodedMessage) else EncodedMessage.of(message)
         try:
-            self._queue.put_nowait(known)
+            self._queue.put_nowait(encoded)
         except Full:
             self._metrics.peer_events.labels("queue_full").inc()
-            self._lose()
+            self._drop()
 
     def run(self, receive: Callable[["PeerLink", Message], None]) -> LinkEnd:
         """Pass received messages to a callback until the link ends."""
@@ -83,29 +83,29 @@
         """Drop the link if nothing was received within the timeout."""
         if now_ms() - self.heard_at_ms > timeout_ms:
             self._metrics.peer_events.labels("silent").inc()
-            self._lose()
+            self._drop()
 
     def _read_frame(self, receive: Callable[["PeerLink", Message], None]) -> None:
         frame = decode_frame(self._connection.recv())
         if frame.is_err():
-            self._refuse_frame()
+            self._reject_frame()
             return
         self.heard_at_ms = now_ms()
         for data in frame.unwrap():
             message = decode(data)
             if message.is_err():
-                self._refuse_frame()
+                self._reject_frame()
                 return
             self._count(type(message.unwrap()).__name__, "in", len(data))
             if isinstance(message.unwrap(), Heartbeat):
                 self.heartbeat = message.unwrap()
             receive(self, message.unwrap())
 
-    def _refuse_frame(self) -> None:
+    def _reject_frame(self) -> None:
         self._metrics.peer_events.labels("bad_message").inc()
-        self._lose()
+        self._drop()
 
-    def _lose(self) -> None:
+    def _drop(self) -> None:
         self._end = LinkEnd.LOST
         self.close()
 
@@ -117,7 +117,7 @@
             try:
                 self._connection.send(encode_frame([message.data for message in messages]))
             except (ConnectionClosed, OSError):
-                self._lose()
+                self._drop()
                 return
             for message in messages:
                 self._count(message.channel, "out", len(message.data))
--- a/sparline/peers/_membership.py
+++ b/sparline/peers/_membership.py
@@ -14,16 +14,16 @@
 from sparline.schema._messages import Hello, InstanceState, MemberBrief
 
 # How long an unreachable instance counts as down; doubled after each failure up to the maximum.
-DOWN_FIRST_MS = 1_000.0
-DOWN_LONGEST_MS = 15_000.0
+INITIAL_BACKOFF_MS = 1_000.0
+MAX_BACKOFF_MS = 15_000.0
 
 
 @dataclass(slots=True)
-class _Down:
+class _Backoff:
     """Failed attempts to reach one instance."""
 
     failures: int  # consecutive failures
-    until_ms: float  # time of the next attempt
+    retry_at_ms: float  # time of the next attempt
 
 
 class Membership:
@@ -38,11 +38,9 @@
         self.uptime_ms: Callable[[], int] = lambda: 0
         self.platform_cut: Callable[[], bool] = lambda: False  # whether platform reads fail here
         self._summaries = summaries
-        self.contacts: set[InstanceId] = (
-            set()
-        )  # peers in other zones and regions that receive updates
+        self.contacts: set[InstanceId] = set()  # update recipients outside the zone
         self._links: dict[InstanceId, PeerLink] = {}
-        self._down: dict[InstanceId, _Down] = {}
+        self._backoffs: dict[InstanceId, _Backoff] = {}
 
     def link_of(self, instance_id: InstanceId) -> PeerLink | None:
         """Return the live link to a peer."""
@@ -56,13 +54,13 @@
     def note_link(self, link: PeerLink) -> None:
         """Register a new link; on duplicates to one incarnation both sides keep the same link."""
         peer_id = InstanceId(link.peer.instance_id)
-        self._down.pop(peer_id, None)
+        self._backoffs.pop(peer_id, None)
         old = self.link_of(peer_id)
         if old is None:
             self._links[peer_id] = link
             return
-        same_start = old.peer.incarnation == link.peer.incarnation
-        keeps_old = same_start and self._dialler_of(old) < self._dialler_of(link)
+        same_incarnation = old.peer.incarnation == link.peer.incarnation
+        keeps_old = same_incarnation and self._dialler_of(old) < self._dialler_of(link)
         self._links[peer_id] = old if keeps_old else link
         (link if keeps_old else old).close()
 
@@ -83,21 +81,21 @@
 
     def note_unreachable(self, instance_id: InstanceId) -> None:
         """Record a failure to reach an instance and back off exponentially."""
-        down = self._down.get(instance_id)
-        failures = down.failures + 1 if down else 1
-        pause_ms = doubled_ms(DOWN_FIRST_MS, DOWN_LONGEST_MS, failures)
-        self._down[instance_id] = _Down(failures, now_ms() + pause_ms)
+        backoff = self._backoffs.get(instance_id)
+        failures = backoff.failures + 1 if backoff else 1
+        delay_ms = doubled_ms(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS, failures)
+        self._backoffs[instance_id] = _Backoff(failures, now_ms() + delay_ms)
 
     def may_dial(self, instance_id: InstanceId) -> bool:
         """Return whether an instance is not in its backoff period."""
-        down = self._down.get(instance_id)
-        return down is None or now_ms() >= down.until_ms
+        backoff = self._backoffs.get(instance_id)
+        return backoff is None or now_ms() >= backoff.retry_at_ms
 
     def reachable(self, instance_id: InstanceId) -> bool:
         """Return whether no direct observation marks an instance as leaving or unreachable."""
         link = self.link_of(instance_id)
         if link is not None:
-            return _state_of(link) is not InstanceState.leaving
+            return _reported_state(link) is not InstanceState.leaving
         return self.may_dial(instance_id)
 
     def is_live(self, member: FleetMember) -> bool:
@@ -107,21 +105,21 @@
             return self.state is not InstanceState.leaving
         link = self.link_of(instance_id)
         if link is not None:
-            return _state_of(link) is not InstanceState.leaving
+            return _reported_state(link) is not InstanceState.leaving
         if self._is_down(member) or member.state is FleetState.leaving:
             return False
-        held = self._summaries.get(ZoneName(member.availability_zone))
-        if held is None:
+        stored = self._summaries.get(ZoneName(member.availability_zone))
+        if stored is None:
             return True
-        told = [one for one in held.summary.members if one.instance_id == member.id]
-        return any(one.state is InstanceState.live for one in told)
+        entries = [entry for entry in stored.summary.members if entry.instance_id == member.id]
+        return any(entry.state is InstanceState.live for entry in entries)
 
     def _is_down(self, member: FleetMember) -> bool:
         """Return whether an instance counts as down; a sibling does until it is reached again."""
-        down = self._down.get(InstanceId(member.id))
-        if down is None:
+        backoff = self._backoffs.get(InstanceId(member.id))
+        if backoff is None:
             return False
-        return self._is_sibling(member.availability_zone) or now_ms() < down.until_ms
+        return self._is_sibling(member.availability_zone) or now_ms() < backoff.retry_at_ms
 
     def _is_sibling(self, zone: str) -> bool:
         return zone == self.self_hello.availability_zone
@@ -130,15 +128,15 @@
         """Return the live instances of a zone of this instance's region."""
         members = self.catalog.instances_in_region(self.self_hello.region)
         return [
-            InstanceId(one.id)
-            for one in members
-            if one.availability_zone == zone and self.is_live(one)
+            InstanceId(member.id)
+            for member in members
+            if member.availability_zone == zone and self.is_live(member)
         ]
 
     def live_in_region(self, region: str) -> list[InstanceId]:
         """Return the live instances of a region."""
         members = self.catalog.instances_in_region(region)
-        return [InstanceId(one.id) for one in members if self.is_live(one)]
+        return [InstanceId(member.id) for member in members if self.is_live(member)]
 
     def has_zone_duty(self, duty: str) -> bool:
         """Return whether this instance is assigned a duty of its zone."""
@@ -152,8 +150,8 @@
         live instance keeps trying.
         """
         live = self.live_in_region(self.self_hello.region) or [self.self_id]
-        able = [one for one in live if not self._is_platform_cut(one)]
-        return first("platform", able or live) == self.self_id
+        readers = [peer_id for peer_id in live if not self._is_platform_cut(peer_id)]
+        return first("platform", readers or live) == self.self_id
 
     def _is_platform_cut(self, instance_id: InstanceId) -> bool:
         if instance_id == self.self_id:
@@ -161,25 +159,25 @@
         link = self.link_of(instance_id)
         if link is not None:
             return link.heartbeat is not None and link.heartbeat.platform_cut
-        told = self._told_of(instance_id)
-        return told is not None and told.platform_cut
+        entry = self._summary_entry(instance_id)
+        return entry is not None and entry.platform_cut
 
-    def _told_of(self, instance_id: InstanceId) -> MemberBrief | None:
+    def _summary_entry(self, instance_id: InstanceId) -> MemberBrief | None:
         """Return the entry for an instance in its zone's summary."""
         member = self.catalog.instances.get(instance_id)
-        held = self._summaries.get(ZoneName(member.availability_zone)) if member else None
-        members = held.summary.members if held else []
-        return next((one for one in members if one.instance_id == instance_id), None)
+        stored = self._summaries.get(ZoneName(member.availability_zone)) if member else None
+        members = stored.summary.members if stored else []
+        return next((entry for entry in members if entry.instance_id == instance_id), None)
 
     def sees_whole_region(self, region: str) -> bool:
         """Return whether every instance listed as live is seen as live or has announced leaving."""
         members = self.catalog.instances_in_region(region)
-        listed = [one for one in members if one.state is FleetState.live]
-        return all(self.is_live(one) or self._told_leaving(one) for one in listed)
+        listed = [member for member in members if member.state is FleetState.live]
+        return all(self.is_live(member) or self._announced_leaving(member) for member in listed)
 
-    def _told_leaving(self, member: FleetMember) -> bool:
+    def _announced_leaving(self, member: FleetMember) -> bool:
         link = self.link_of(InstanceId(member.id))
-        return link is not None and _state_of(link) is InstanceState.leaving
+        return link is not None and _reported_state(link) is InstanceState.leaving
 
     def zone_members(self) -> list[MemberBrief]:
         """Return this instance and the linked instances of its zone that have sent a heartbeat."""
@@ -190,15 +188,15 @@
             )
         ]
         for link in self.links():
-            peer, beat = link.peer, link.heartbeat
-            if peer.availability_zone == own.availability_zone and beat is not None:
+            peer, latest = link.peer, link.heartbeat
+            if peer.availability_zone == own.availability_zone and latest is not None:
                 members.append(
                     MemberBrief(
                         peer.instance_id,
                         peer.incarnation,
-                        beat.state,
-                        beat.uptime_ms,
-                        beat.platform_cut,
+                        latest.state,
+                        latest.uptime_ms,
+                        latest.platform_cut,
                     )
                 )
         return members
@@ -210,9 +208,9 @@
         link = self.link_of(instance_id)
         if link is not None and link.heartbeat is not None:
             return Incarnation(link.peer.incarnation), link.heartbeat.uptime_ms
-        told = self._told_of(instance_id)
-        return (Incarnation(told.incarnation), told.uptime_ms) if told else None
+        entry = self._summary_entry(instance_id)
+        return (Incarnation(entry.incarnation), entry.uptime_ms) if entry else None
 
 
-def _state_of(link: PeerLink) -> InstanceState:
+def _reported_state(link: PeerLink) -> InstanceState:
     return link.heartbeat.state if link.heartbeat else InstanceState.live
--- a/sparline/peers/_mesh.py
+++ b/sparline/peers/_mesh.py
@@ -22,9 +22,9 @@
 # Maximum WebSocket message size: leaves room for a 1 MB record and its framing.
 MAX_MESSAGE_BYTES = 4_000_000
 # How long a link requested through `want` is kept after the latest request.
-WANTED_MS = 10_000.0
-# Multiplier of the silence timeout for links to other zones, which carry fewer heartbeats.
-FAR_SILENCE = 2
+REQUESTED_LINK_MS = 10_000.0
+# Multiplier of the silence timeout for links outside the zone, which carry fewer heartbeats.
+REMOTE_SILENCE_FACTOR = 2
 
 
 class Receiver:
@@ -133,72 +133,92 @@
         self._dialer = dialer
         self._silence_ms = silence_ms
         self._dialling: set[InstanceId] = set()
-        self._wanted: dict[InstanceId, float] = {}
+        self._requested_until: dict[InstanceId, float] = {}
 
     def want(self, instance_id: InstanceId) -> PeerLink | None:
         """Return the link to an instance, if any, and request that one be kept or dialled."""
-        self._wanted[instance_id] = now_ms() + WANTED_MS
+        self._requested_until[instance_id] = now_ms() + REQUESTED_LINK_MS
         return self._membership.link_of(instance_id)
 
     def maintain(self) -> None:
         """Dial missing links, drop silent ones and close those no longer needed."""
-        needed = self._needed()
+        needed = self._needed_peers()
         for instance_id in needed:
             if self._should_dial(instance_id):
                 gevent.spawn(self._dial, instance_id)
         for link in self._membership.links():
-            near = link.peer.availability_zone == self._membership.self_hello.availability_zone
-            link.drop_if_silent(self._silence_ms * (1 if near else FAR_SILENCE))
+            same_zone = link.peer.availability_zone == self._membership.self_hello.availability_zone
+            link.drop_if_silent(self._silence_ms * (1 if same_zone else REMOTE_SILENCE_FACTOR))
             if link.dialled and InstanceId(link.peer.instance_id) not in needed:
                 self._metrics.peer_events.labels("not_needed").inc()
                 link.close()
 
     def _should_dial(self, instance_id: InstanceId) -> bool:
-        known = instance_id in self._dialling or self._membership.link_of(instance_id) is not None
-        return not known and self._membership.may_dial(instance_id)
+        linked_or_dialling = (
+            instance_id in self._dialling or self._membership.link_of(instance_id) is not None
+        )
+        return not linked_or_dialling and self._membership.may_dial(instance_id)
 
-    def _needed(self) -> set[InstanceId]:
+    def _needed_peers(self) -> set[InstanceId]:
         own = self._membership.self_hello
         catalog = self._membership.catalog
-        near = [one for one in catalog.instances_in_region(own.region) if self._is_other(one)]
-        needed = {InstanceId(one.id) for one in near if self._dials_sibling(one)}
-        contacts = self._zone_contacts(near) | self._region_contacts()
+        peers = [
+            member
+            for member in catalog.instances_in_region(own.region)
+            if self._is_live_peer(member)
+        ]
+        needed = {InstanceId(member.id) for member in peers if self._should_dial_sibling(member)}
+        contacts = self._zone_contacts(peers) | self._region_contacts()
         self._membership.contacts = contacts
         now = now_ms()
-        self._wanted = {one: until for one, until in self._wanted.items() if until > now}
-        return needed | contacts | {one for one in self._wanted if one in catalog.instances}
-
-    def _is_other(self, member: FleetMember) -> bool:
+        self._requested_until = {
+            peer_id: until for peer_id, until in self._requested_until.items() if until > now
+        }
+        return (
+            needed
+            | contacts
+            | {peer_id for peer_id in self._requested_until if peer_id in catalog.instances}
+        )
+
+    def _is_live_peer(self, member: FleetMember) -> bool:
         return member.id != self._membership.self_id and member.state is FleetState.live
 
-    def _dials_sibling(self, member: FleetMember) -> bool:
+    def _should_dial_sibling(self, member: FleetMember) -> bool:
         own = self._membership.self_hello
         return member.availability_zone == own.availability_zone and own.instance_id < member.id
 
     def _zone_contacts(self, members: list[FleetMember]) -> set[InstanceId]:
         own = self._membership.self_hello
-        zones = {one.availability_zone for one in members} - {own.availability_zone}
-        groups = ([one for one in members if one.availability_zone == zone] for zone in zones)
-        return {contact for group in groups if (contact := self._contact(group))}
+        zones = {member.availability_zone for member in members} - {own.availability_zone}
+        groups = (
+            [member for member in members if member.availability_zone == zone] for zone in zones
+        )
+        return {contact for group in groups if (contact := self._select_contact(group))}
 
     def _region_contacts(self) -> set[InstanceId]:
         own = self._membership.self_hello
         catalog = self._membership.catalog
         live = self._membership.live_in_region(own.region) or [self._membership.self_id]
-        regions = [one for one in catalog.regions() if one != own.region]
-        mine = [one for one in regions if first(f"link/{one}", live) == self._membership.self_id]
+        regions = [other for other in catalog.regions() if other != own.region]
+        assigned = [
+            other for other in regions if first(f"link/{other}", live) == self._membership.self_id
+        ]
         groups = [
-            [one for one in catalog.instances_in_region(region) if one.state is FleetState.live]
-            for region in mine
+            [
+                member
+                for member in catalog.instances_in_region(region)
+                if member.state is FleetState.live
+            ]
+            for region in assigned
         ]
-        return {contact for group in groups if (contact := self._contact(group))}
+        return {contact for group in groups if (contact := self._select_contact(group))}
 
-    def _contact(self, group: list[FleetMember]) -> InstanceId | None:
+    def _select_contact(self, group: list[FleetMember]) -> InstanceId | None:
         """Return the preferred contact of a group: a reachable one, else one due for a retry."""
-        order = ranked(self._membership.self_id, [InstanceId(one.id) for one in group])
-        linked = [one for one in order if self._membership.reachable(one)]
-        due = [one for one in order if self._membership.may_dial(one)]
-        return next(iter([*linked, *due]), None)
+        candidates = ranked(self._membership.self_id, [InstanceId(member.id) for member in group])
+        reachable_peers = [peer_id for peer_id in candidates if self._membership.reachable(peer_id)]
+        due = [peer_id for peer_id in candidates if self._membership.may_dial(peer_id)]
+        return next(iter([*reachable_peers, *due]), None)
 
     def _dial(self, instance_id: InstanceId) -> None:
         member = self._membership.catalog.instances.get(instance_id)
--- a/sparline/peers/_rendezvous.py
+++ b/sparline/peers/_rendezvous.py
@@ -10,9 +10,9 @@
 
 def ranked(key: str, ids: Iterable[Id]) -> list[Id]:
     """Return ids by descending hash for a key."""
-    return sorted(ids, key=lambda one: hash64(f"{key}\n{one}"), reverse=True)
+    return sorted(ids, key=lambda candidate: hash64(f"{key}\n{candidate}"), reverse=True)
 
 
 def first(key: str, ids: Iterable[Id]) -> Id | None:
     """Return the id with the highest hash for a key, None if there are no ids."""
-    return max(ids, key=lambda one: hash64(f"{key}\n{one}"), default=None)
+    return max(ids, key=lambda candidate: hash64(f"{key}\n{candidate}"), default=None)
--- a/sparline/peers/_spread.py
+++ b/sparline/peers/_spread.py
@@ -38,10 +38,10 @@
         targets = {Scope.SIBLING}
     if own_region_news:
         targets = targets | {Scope.REGION}
-    return [link for link in membership.links() if _goes_to(membership, link, targets)]
+    return [link for link in membership.links() if _is_recipient(membership, link, targets)]
 
 
-def _goes_to(membership: Membership, link: PeerLink, targets: set[Scope]) -> bool:
+def _is_recipient(membership: Membership, link: PeerLink, targets: set[Scope]) -> bool:
     scope = scope_of(membership.self_hello, link.peer)
     is_contact = link.peer.instance_id in membership.contacts
     return scope in targets and (scope is Scope.SIBLING or is_contact)
