--- a/sparline/instance/_load_reader.py
+++ b/sparline/instance/_load_reader.py
@@ -6,7 +6,7 @@
 from geventhttpclient.response import HTTPParseError
 
 from sparline._ids import BackendServerId
-from sparline.peers import Membership, first
+from sparline.peers import Membership, highest_ranked
 from sparline.routing import BackendState, LoadTable
 from sparline.schema._fleet import FleetMember, FleetRole
 from sparline.schema._messages import EngineReport
@@ -46,7 +46,9 @@
             for backend in self._loads.all()
             if backend.member.role is FleetRole.engine
         )
-        return [one for one in ids if first(f"load/{one}", live) == self._membership.self_id]
+        return [
+            one for one in ids if highest_ranked(f"load/{one}", live) == self._membership.self_id
+        ]
 
     def read_due(self) -> None:
         """Read all reports that fall to this instance, side by side."""
--- a/sparline/limits/_exchange.py
+++ b/sparline/limits/_exchange.py
@@ -9,7 +9,7 @@
 from sparline.declarations import Catalog
 from sparline.limits._enforcer import LimitEnforcer
 from sparline.limits._owner import LimitOwner, LimitTerms, Reported, View
-from sparline.peers import Membership, Mesh, PeerLink, first
+from sparline.peers import Membership, Mesh, PeerLink, highest_ranked
 from sparline.schema._messages import Demand, LimitReport, LimitShares, Share
 
 
@@ -76,7 +76,9 @@
         declared = self.catalog.organisations.get(organisation)
         if declared is None:
             return None
-        return first(f"limit/{organisation}", self._membership.live_in_region(declared.home_region))
+        return highest_ranked(
+            f"limit/{organisation}", self._membership.live_in_region(declared.home_region)
+        )
 
     def take_report(self, link: PeerLink, report: LimitReport) -> None:
         """Answer another instance's report."""
--- a/sparline/peers/_membership.py
+++ b/sparline/peers/_membership.py
@@ -8,7 +8,7 @@
 from sparline._ids import Incarnation, InstanceId, ZoneName
 from sparline.declarations import Catalog
 from sparline.peers._link import LinkEnd, PeerLink
-from sparline.peers._rendezvous import first
+from sparline.peers._rendezvous import highest_ranked
 from sparline.routing import SummaryTable
 from sparline.schema._fleet import FleetMember, FleetState
 from sparline.schema._messages import Hello, InstanceState, MemberBrief
@@ -141,7 +141,7 @@
     def has_zone_duty(self, duty: str) -> bool:
         """Return whether this instance is assigned a duty of its zone."""
         live = self.live_in_zone(self.self_hello.availability_zone)
-        return first(duty, live or [self.self_id]) == self.self_id
+        return highest_ranked(duty, live or [self.self_id]) == self.self_id
 
     def has_platform_duty(self) -> bool:
         """Return whether this instance reads the platform for its region.
@@ -151,7 +151,7 @@
         """
         live = self.live_in_region(self.self_hello.region) or [self.self_id]
         readers = [peer_id for peer_id in live if not self._is_platform_cut(peer_id)]
-        return first("platform", readers or live) == self.self_id
+        return highest_ranked("platform", readers or live) == self.self_id
 
     def _is_platform_cut(self, instance_id: InstanceId) -> bool:
         if instance_id == self.self_id:
--- a/sparline/peers/_mesh.py
+++ b/sparline/peers/_mesh.py
@@ -13,7 +13,7 @@
 from sparline.peers._codec import Message, decode, encode
 from sparline.peers._link import PeerLink
 from sparline.peers._membership import Membership
-from sparline.peers._rendezvous import first, ranked
+from sparline.peers._rendezvous import highest_ranked, ranked
 from sparline.schema._fleet import FleetMember, FleetState
 from sparline.schema._messages import Hello, LinkPurpose
 from sparline.schema._settings import Address
@@ -201,7 +201,9 @@
         live = self._membership.live_in_region(own.region) or [self._membership.self_id]
         regions = [other for other in catalog.regions() if other != own.region]
         assigned = [
-            other for other in regions if first(f"link/{other}", live) == self._membership.self_id
+            other
+            for other in regions
+            if highest_ranked(f"link/{other}", live) == self._membership.self_id
         ]
         groups = [
             [
--- a/sparline/peers/_rendezvous.py
+++ b/sparline/peers/_rendezvous.py
@@ -13,6 +13,6 @@
     return sorted(ids, key=lambda candidate: hash64(f"{key}\n{candidate}"), reverse=True)
 
 
-def first(key: str, ids: Iterable[Id]) -> Id | None:
+def highest_ranked(key: str, ids: Iterable[Id]) -> Id | None:
     """Return the id with the highest hash for a key, None if there are no ids."""
     return max(ids, key=lambda candidate: hash64(f"{key}\n{candidate}"), default=None)
