--- a/sparline/entry/_locate.py
+++ b/sparline/entry/_locate.py
@@ -98,7 +98,7 @@
 
     def ticket_for(self, advice: Advice) -> str | None:
         """Return a ticket that binds a new request id to an instance, None where its start is unknown."""
-        known = self._membership.known_start(InstanceId(advice.instance_id))
+        known = self._membership.incarnation_and_uptime(InstanceId(advice.instance_id))
         if known is None:
             return None
         incarnation, uptime_ms = known
--- a/sparline/peers/_membership.py
+++ b/sparline/peers/_membership.py
@@ -201,7 +201,7 @@
                 )
         return members
 
-    def known_start(self, instance_id: InstanceId) -> tuple[Incarnation, int] | None:
+    def incarnation_and_uptime(self, instance_id: InstanceId) -> tuple[Incarnation, int] | None:
         """Return an instance's incarnation and a lower bound of its uptime, None if unknown."""
         if instance_id == self.self_id:
             return Incarnation(self.self_hello.incarnation), self.uptime_ms()
