--- a/sparline/instance/_control.py
+++ b/sparline/instance/_control.py
@@ -193,7 +193,7 @@
             for held in self._parts.summaries.fresh():
                 link.send(aged(held.summary, now_ms() - held.received_ms))
 
-    def on_lost(self, link: PeerLink) -> None:
+    def on_link_lost(self, link: PeerLink) -> None:
         """Drop what a lost peer told."""
         peer_id = InstanceId(link.peer.instance_id)
         log.info("peers: lost the link to {}", peer_id)
--- a/sparline/peers/_mesh.py
+++ b/sparline/peers/_mesh.py
@@ -33,7 +33,7 @@
     def on_link(self, link: PeerLink) -> None:
         """Handle a newly opened link."""
 
-    def on_lost(self, link: PeerLink) -> None:
+    def on_link_lost(self, link: PeerLink) -> None:
         """Handle a link whose peer may be gone."""
 
     def on_message(self, link: PeerLink, message: Message) -> None:
@@ -256,7 +256,7 @@
         end = link.run(self._receiver.on_message)
         if self._membership.note_ended(link, end):
             self._metrics.peer_events.labels("lost").inc()
-            self._receiver.on_lost(link)
+            self._receiver.on_link_lost(link)
 
     def close(self) -> None:
         """Close every link."""
