--- a/sparline/limits/_exchange.py
+++ b/sparline/limits/_exchange.py
@@ -67,9 +67,9 @@
         if owner == self._membership.self_id:
             self.take_shares(LimitShares(self._answer(owner, demands)))
             return
-        link = self._membership.link_of(owner) or self._mesh.want(owner)
+        link = self._membership.link_of(owner) or self._mesh.request_link(owner)
         if link is not None:
-            self._mesh.want(owner)
+            self._mesh.request_link(owner)
             link.send(LimitReport(demands))
 
     def _owner_of(self, organisation: OrganisationId) -> InstanceId | None:
--- a/sparline/peers/_mesh.py
+++ b/sparline/peers/_mesh.py
@@ -21,7 +21,7 @@
 HELLO_TIMEOUT_S = 2.0
 # Maximum WebSocket message size: leaves room for a 1 MB record and its framing.
 MAX_MESSAGE_BYTES = 4_000_000
-# How long a link requested through `want` is kept after the latest request.
+# How long a link requested through `request_link` is kept after the latest request.
 REQUESTED_LINK_MS = 10_000.0
 # Multiplier of the silence timeout for links outside the zone, which carry fewer heartbeats.
 REMOTE_SILENCE_FACTOR = 2
@@ -135,7 +135,7 @@
         self._dialling: set[InstanceId] = set()
         self._requested_until: dict[InstanceId, float] = {}
 
-    def want(self, instance_id: InstanceId) -> PeerLink | None:
+    def request_link(self, instance_id: InstanceId) -> PeerLink | None:
         """Return the link to an instance, if any, and request that one be kept or dialled."""
         self._requested_until[instance_id] = now_ms() + REQUESTED_LINK_MS
         return self._membership.link_of(instance_id)
