--- a/sparline/instance/_control.py
+++ b/sparline/instance/_control.py
@@ -179,7 +179,7 @@
         members = self._parts.membership.zone_members()
         made = summarise(reporter, self._summary_sequence, members, self._parts.loads, self.catalog)
         summary = EncodedMessage.of(made)
-        for link in next_hops(self._parts.membership, Scope.SELF, own_region_news=True):
+        for link in next_hops(self._parts.membership, Scope.SELF, about_own_region=True):
             link.send(summary)
 
     def on_link(self, link: PeerLink) -> None:
--- a/sparline/instance/_records_sync.py
+++ b/sparline/instance/_records_sync.py
@@ -81,7 +81,7 @@
     ) -> None:
         """Push every record after a revision, not the new ones alone: a peer may lack the others."""
         later = [record for record in records if record.revision > since]
-        links = next_hops(self._membership, came_from, own_region_news=False)
+        links = next_hops(self._membership, came_from, about_own_region=False)
         for message in _messages(later, since, complete):
             for link in links:
                 link.send(message)
--- a/sparline/peers/_spread.py
+++ b/sparline/peers/_spread.py
@@ -23,7 +23,7 @@
     return Scope.SIBLING if peer.availability_zone == own.availability_zone else Scope.ZONE
 
 
-def next_hops(membership: Membership, came_from: Scope, own_region_news: bool) -> list[PeerLink]:
+def next_hops(membership: Membership, came_from: Scope, about_own_region: bool) -> list[PeerLink]:
     """Return the links to forward an update on, so that each instance gets it about once.
 
     Updates from outside the zone go to siblings. Updates that originate here or arrive from
@@ -36,7 +36,7 @@
     }.get(came_from, set())
     if came_from is Scope.ZONE:
         targets = {Scope.SIBLING}
-    if own_region_news:
+    if about_own_region:
         targets = targets | {Scope.REGION}
     return [link for link in membership.links() if _is_recipient(membership, link, targets)]
 
