--- a/sparline/peers/_link.py
+++ b/sparline/peers/_link.py
@@ -47,7 +47,7 @@
         """Take ownership of a connection on which hellos have been exchanged."""
         self.peer = peer
         self.dialled = dialled  # whether this instance opened the link
-        self.heard_at_ms = now_ms()  # when the last valid frame arrived
+        self.received_at_ms = now_ms()  # when the last valid frame arrived
         self.heartbeat: Heartbeat | None = None  # latest heartbeat received
         self.closed = False
         self._end = LinkEnd.CLOSED
@@ -81,7 +81,7 @@
 
     def drop_if_silent(self, timeout_ms: float) -> None:
         """Drop the link if nothing was received within the timeout."""
-        if now_ms() - self.heard_at_ms > timeout_ms:
+        if now_ms() - self.received_at_ms > timeout_ms:
             self._metrics.peer_events.labels("silent").inc()
             self._drop()
 
@@ -90,7 +90,7 @@
         if frame.is_err():
             self._reject_frame()
             return
-        self.heard_at_ms = now_ms()
+        self.received_at_ms = now_ms()
         for data in frame.unwrap():
             message = decode(data)
             if message.is_err():
