--- a/sparline/peers/tests/test_spread.py
+++ b/sparline/peers/tests/test_spread.py
@@ -1,4 +1,7 @@
-"""Updates reach all zones and regions over a bounded number of links and platform calls."""
+"""Updates reach every instance about once over a bounded number of links and platform calls.
+
+This must hold whichever instances have the links to other zones and regions.
+"""
 
 from collections.abc import Iterator
 
