--- a/sparline/peers/_membership.py
+++ b/sparline/peers/_membership.py
@@ -52,7 +52,11 @@
         return [link for link in self._links.values() if not link.closed]
 
     def note_link(self, link: PeerLink) -> None:
-        """Register a new link; on duplicates to one incarnation both sides keep the same link."""
+        """Register a new link and close the one it duplicates, if any.
+
+        If both sides dialled at once, each keeps the link dialled by the lower instance id. A
+        link to another incarnation of the peer always replaces the old link.
+        """
         peer_id = InstanceId(link.peer.instance_id)
         self._backoffs.pop(peer_id, None)
         old = self.link_of(peer_id)
@@ -73,8 +77,9 @@
         if self._links.get(peer_id) is not link:
             return False
         del self._links[peer_id]
-        # Siblings close a link only on shutdown; other peers also when they no longer need it.
-        if end is LinkEnd.CLOSED and not self._is_sibling(link.peer.availability_zone):
+        # Siblings (other instances of this zone) close a link only on shutdown; other peers also
+        # close links that they no longer need.
+        if end is LinkEnd.CLOSED and not self._is_own_zone(link.peer.availability_zone):
             return False
         self.note_unreachable(peer_id)
         return True
@@ -92,7 +97,7 @@
         return backoff is None or now_ms() >= backoff.retry_at_ms
 
     def reachable(self, instance_id: InstanceId) -> bool:
-        """Return whether no direct observation marks an instance as leaving or unreachable."""
+        """Return whether an instance is linked and not leaving, or may be dialled now."""
         link = self.link_of(instance_id)
         if link is not None:
             return _reported_state(link) is not InstanceState.leaving
@@ -115,13 +120,17 @@
         return any(entry.state is InstanceState.live for entry in entries)
 
     def _is_down(self, member: FleetMember) -> bool:
-        """Return whether an instance counts as down; a sibling does until it is reached again."""
+        """Return whether an instance counts as down after a lost link or a failed attempt.
+
+        A sibling counts as down until a link to it opens, any other instance until its backoff
+        period ends.
+        """
         backoff = self._backoffs.get(InstanceId(member.id))
         if backoff is None:
             return False
-        return self._is_sibling(member.availability_zone) or now_ms() < backoff.retry_at_ms
+        return self._is_own_zone(member.availability_zone) or now_ms() < backoff.retry_at_ms
 
-    def _is_sibling(self, zone: str) -> bool:
+    def _is_own_zone(self, zone: str) -> bool:
         return zone == self.self_hello.availability_zone
 
     def live_in_zone(self, zone: str) -> list[InstanceId]:
@@ -146,8 +155,8 @@
     def has_platform_duty(self) -> bool:
         """Return whether this instance reads the platform for its region.
 
-        Instances whose recent reads failed are passed over; if all failed, the highest-ranked
-        live instance keeps trying.
+        Instances whose recent reads failed are skipped; if all failed, the highest-ranked live
+        instance keeps trying.
         """
         live = self.live_in_region(self.self_hello.region) or [self.self_id]
         readers = [peer_id for peer_id in live if not self._is_platform_cut(peer_id)]
--- a/sparline/peers/_mesh.py
+++ b/sparline/peers/_mesh.py
@@ -184,6 +184,7 @@
         return member.id != self._membership.self_id and member.state is FleetState.live
 
     def _should_dial_sibling(self, member: FleetMember) -> bool:
+        """Return whether a member is a sibling to dial; the lower id of each pair dials."""
         own = self._membership.self_hello
         return member.availability_zone == own.availability_zone and own.instance_id < member.id
 
--- a/sparline/peers/_spread.py
+++ b/sparline/peers/_spread.py
@@ -8,16 +8,16 @@
 
 
 class Scope(Enum):
-    """Distance between this instance and a peer."""
+    """Location of a peer relative to this instance."""
 
-    SELF = "self"
-    SIBLING = "sibling"
-    ZONE = "zone"
-    REGION = "region"
+    SELF = "self"  # this instance
+    SIBLING = "sibling"  # another instance of the same zone
+    ZONE = "zone"  # an instance of another zone of the same region
+    REGION = "region"  # an instance of another region
 
 
 def scope_of(own: Hello, peer: Hello) -> Scope:
-    """Return the distance class of a peer."""
+    """Return the location of a peer relative to this instance."""
     if peer.region != own.region:
         return Scope.REGION
     return Scope.SIBLING if peer.availability_zone == own.availability_zone else Scope.ZONE
--- a/sparline/peers/tests/test_spread.py
+++ b/sparline/peers/tests/test_spread.py
@@ -26,7 +26,7 @@
 
 
 def count(fleet: LocalFleet, channel: str) -> int:
-    """Return the number of messages received by all instances."""
+    """Return how many messages of one type all instances have received."""
     labels = {"channel": channel, "direction": "in"}
     values = (
         instance.metrics.registry.get_sample_value("sparline_control_messages_total", labels)
@@ -37,7 +37,7 @@
 
 def test_every_instance_sees_every_other_zone(fleet: LocalFleet) -> None:
     for instance in fleet.instances.values():
-        seen = {held.summary.availability_zone for held in instance.summaries.fresh()}
+        seen = {stored.summary.availability_zone for stored in instance.summaries.fresh()}
         assert seen == {zone.name for zone in ZONES} - {instance.settings.availability_zone}
 
 
@@ -58,14 +58,14 @@
         siblings = (
             sum(
                 1
-                for one in fleet.settings.values()
-                if one.availability_zone == instance.settings.availability_zone
+                for other in fleet.settings.values()
+                if other.availability_zone == instance.settings.availability_zone
             )
             - 1
         )
         assert len(instance.membership.contacts) <= (zones - 1) + (regions - 1), name
         assert (
-            len([one for one in instance.membership.links() if one.dialled])
+            len([link for link in instance.membership.links() if link.dialled])
             <= siblings + zones + regions
         )
 
