--- a/sparline/peers/_membership.py
+++ b/sparline/peers/_membership.py
@@ -51,7 +51,7 @@
         """Return every live link."""
         return [link for link in self._links.values() if not link.closed]
 
-    def note_link(self, link: PeerLink) -> None:
+    def add_link(self, link: PeerLink) -> None:
         """Register a new link and close the one it duplicates, if any.
 
         If both sides dialled at once, each keeps the link dialled by the lower instance id. A
--- a/sparline/peers/_mesh.py
+++ b/sparline/peers/_mesh.py
@@ -251,7 +251,7 @@
         """Serve a control connection until it ends."""
         assert peer.purpose is LinkPurpose.control, "relay connections have their own handler"
         link = PeerLink(connection, peer, dialled, self._metrics)
-        self._membership.note_link(link)
+        self._membership.add_link(link)
         self._metrics.peer_events.labels("opened").inc()
         self._receiver.on_link(link)
         end = link.run(self._receiver.on_message)
