--- a/sparline/peers/_membership.py
+++ b/sparline/peers/_membership.py
@@ -71,7 +71,7 @@
     def _dialler_of(self, link: PeerLink) -> str:
         return self.self_id if link.dialled else link.peer.instance_id
 
-    def note_ended(self, link: PeerLink, end: LinkEnd) -> bool:
+    def remove_link(self, link: PeerLink, end: LinkEnd) -> bool:
         """Remove an ended link; return whether its peer may be gone."""
         peer_id = InstanceId(link.peer.instance_id)
         if self._links.get(peer_id) is not link:
--- a/sparline/peers/_mesh.py
+++ b/sparline/peers/_mesh.py
@@ -255,7 +255,7 @@
         self._metrics.peer_events.labels("opened").inc()
         self._receiver.on_link(link)
         end = link.run(self._receiver.on_message)
-        if self._membership.note_ended(link, end):
+        if self._membership.remove_link(link, end):
             self._metrics.peer_events.labels("lost").inc()
             self._receiver.on_link_lost(link)
 
