--- a/sparline/instance/_control.py
+++ b/sparline/instance/_control.py
@@ -183,7 +183,7 @@
             reporter, self._summary_sequence, members, self._parts.loads, self.catalog
         )
         summary = EncodedMessage.of(made)
-        for link in next_hops(self._parts.membership, Scope.SELF, own_region_news=True):
+        for link in next_hops(self._parts.membership, Scope.SELF, about_own_region=True):
             link.send(summary)
 
     def on_link(self, link: PeerLink) -> None:
@@ -197,7 +197,7 @@
             for held in self._parts.summaries.fresh():
                 link.send(with_added_age(held.summary, now_ms() - held.received_ms))
 
-    def on_lost(self, link: PeerLink) -> None:
+    def on_link_lost(self, link: PeerLink) -> None:
         """Drop what a lost peer told."""
         peer_id = InstanceId(link.peer.instance_id)
         log.info("peers: lost the link to {}", peer_id)
--- a/sparline/limits/_exchange.py
+++ b/sparline/limits/_exchange.py
@@ -9,7 +9,7 @@
 from sparline.declarations import Catalog
 from sparline.limits._enforcer import LimitEnforcer
 from sparline.limits._owner import DemandReport, LimitOwner, LimitTerms, RegionView
-from sparline.peers import Membership, Mesh, PeerLink, first
+from sparline.peers import Membership, Mesh, PeerLink, highest_ranked
 from sparline.schema._messages import Demand, LimitReport, LimitShares, Share
 
 
@@ -71,16 +71,16 @@
         if owner == self._membership.self_id:
             self.take_shares(LimitShares(self._answer(owner, demands)))
             return
-        link = self._membership.link_of(owner) or self._mesh.want(owner)
+        link = self._membership.link_of(owner) or self._mesh.request_link(owner)
         if link is not None:
-            self._mesh.want(owner)
+            self._mesh.request_link(owner)
             link.send(LimitReport(demands))
 
     def _owner_of(self, organisation: OrganisationId) -> InstanceId | None:
         declaration = self.catalog.organisations.get(organisation)
         if declaration is None:
             return None
-        return first(
+        return highest_ranked(
             f"limit/{organisation}", self._membership.live_in_region(declaration.home_region)
         )
 
