--- a/sparline/fleet/tests/quota_replay.py
+++ b/sparline/fleet/tests/quota_replay.py
@@ -1,4 +1,4 @@
-"""Demand replayed against a quota: what is admitted in any window, and what is refused though owed."""
+"""Replay of request load against a quota, measuring over-admission and undue rejections."""
 
 import random
 from collections import deque
@@ -13,7 +13,7 @@
 REGIONS = ("east", "north", "west")
 BOUNDS = QuotaBounds(window_s=8.0, excess=0.25, slack=190_000.0)
 NAME = "ore"
-# Tokens of a request: nine short ones, then a long one.
+# Tokens per request: one request in ten is long.
 SHORT_TOKENS, LONG_TOKENS, LONG_SHARE = 450.0, 17_000.0, 0.1
 MEAN_TOKENS = SHORT_TOKENS + LONG_SHARE * (LONG_TOKENS - SHORT_TOKENS)
 SETTLE_MS = 4_000.0
@@ -21,23 +21,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Say what callers ask in one moment."""
+    """Hold the load that callers generate at one time."""
 
-    factor: float  # tokens asked each second, against the quota
-    weights: tuple[float, float, float] = (1.0, 1.0, 1.0)  # of the regions
+    factor: float  # requested tokens per second, relative to the quota
+    weights: tuple[float, float, float] = (1.0, 1.0, 1.0)  # load distribution over the regions
 
 
 @dataclass(slots=True)
 class Seen:
-    """Hold what a replay showed."""
+    """Hold the results of a replay."""
 
-    most_in_window: float = 0.0  # tokens admitted in the worst window
-    allowed_in_window: float = 0.0  # tokens that operators bear in it
-    owed: float = 0.0  # tokens that one bucket for all would have let in
-    refused_owed: float = 0.0  # tokens of them that were turned away
+    most_in_window: float = 0.0  # maximum number of tokens admitted in any window
+    allowed_in_window: float = 0.0  # maximum number of tokens that operators accept in a window
+    owed: float = 0.0  # tokens that a single shared token bucket would have admitted
+    refused_owed: float = 0.0  # owed tokens that were rejected
     asked: float = 0.0
     admitted: float = 0.0
-    bytes_a_s: float = 0.0  # of datagrams about quotas, an instance
+    bytes_a_s: float = 0.0  # quota datagrams per instance
 
     @property
     def lost_share(self) -> float:
@@ -52,13 +52,13 @@
 
 @dataclass(slots=True)
 class Replay:
-    """Let callers ask a fleet as a pattern says."""
+    """Generate load on a fleet according to a pattern."""
 
     fleet: FakeFleet
-    demand: Callable[[float], Demand]  # by the time since the start (ms)
+    demand: Callable[[float], Demand]  # by time since the start (ms)
     per_s: float = 50_000.0
-    costs: Callable[[random.Random], float] | None = None  # tokens of a request
-    at: Callable[[float], None] = lambda _ms: None  # called in each step
+    costs: Callable[[random.Random], float] | None = None  # tokens per request
+    at: Callable[[float], None] = lambda _ms: None  # called in every step
     seen: Seen = field(default_factory=Seen)
     _window: deque = field(default_factory=deque)
     _in_window: float = 0.0
@@ -89,7 +89,7 @@
         return self.seen
 
     def _refill(self, quota: Quota) -> None:
-        """Move the one bucket and the window on by a step."""
+        """Advance the reference bucket and the sliding window by one step."""
         self._level = min(self._level + quota.per_s * STEP_MS / 1000, quota.burst)
         since = self.fleet.now_ms - BOUNDS.window_s * 1000
         while self._window and self._window[0][0] <= since:
@@ -119,13 +119,13 @@
 
 
 def allowed(per_s: float, burst: float | None = None) -> float:
-    """Return the tokens that operators bear in a window."""
+    """Return the maximum number of tokens that operators accept in a window."""
     burst = per_s if burst is None else burst
     return (per_s * BOUNDS.window_s + burst) * (1 + BOUNDS.excess) + BOUNDS.slack
 
 
 def make_fleet(monkeypatch, instances: int, per_s: float, lossy: float = 0.0) -> FakeFleet:
-    """Return instances of three regions that know each other."""
+    """Return a settled fleet with instances in three regions."""
     chance = random.Random(instances)
     fleet = FakeFleet(chance, ["1.east.0.1", "1.north.0.1", "1.west.0.1"], quota_bounds=BOUNDS)
     fleet.install(monkeypatch)
@@ -138,7 +138,7 @@
 
 
 def addresses(instances: int) -> list[str]:
-    """Return the addresses of a fleet, in the form that tells their region."""
+    """Return the addresses of a fleet, which contain the region of each instance."""
     return [
         f"1.{REGIONS[number % len(REGIONS)]}.0.{number // len(REGIONS) + 1}"
         for number in range(instances)
--- a/sparline/fleet/tests/test_crash_exchange.py
+++ b/sparline/fleet/tests/test_crash_exchange.py
@@ -1,4 +1,4 @@
-"""How fast and how far the fleet hears of ends under requests, and what it costs."""
+"""Propagation speed, reach and cost of crash reports in the fleet."""
 
 import random
 
@@ -10,10 +10,10 @@
 from sparline.tests.fake_fleet import FAR_MS, FakeFleet, region_of
 
 ONE = RequestDigest(b"1" * 16)
-# Time within which every instance in touch has to know of the third end (ms): the shortest that an
-# operator sets.
+# Time within which every connected instance has to know of the third crash (ms): the shortest time
+# that an operator may configure.
 CONTACT_MS = 5_000.0
-# Datagrams may arrive this much later than the way takes (factor).
+# Factor by which a datagram may exceed the normal transit time.
 LATE = 1.5
 SIZES = [("small", 3, 3), ("middle", 26, 3), ("large", 65, 3), ("many regions", 4, 12)]
 
@@ -31,7 +31,7 @@
 
 
 def count_sent(monkeypatch) -> list[tuple[str, str, bytes]]:
-    """Return a list that grows with each datagram: sender, receiver, content."""
+    """Return a list that collects each datagram sent: sender, receiver, content."""
     sent: list[tuple[str, str, bytes]] = []
     carry = FakeFleet.send
 
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize(
     ("instances", "regions"), [row[1:] for row in SIZES], ids=[row[0] for row in SIZES]
 )
-def test_a_third_end_is_known_everywhere_at_once(monkeypatch, instances, regions):
+def test_third_crash_is_known_everywhere_immediately(monkeypatch, instances, regions):
     fleet = fleet_of(monkeypatch, instances, regions)
     crashes = fleet.instances["10.2.0.2"].crashes
     for server in ("a", "b", "c"):
@@ -63,7 +63,7 @@
     ("instances", "regions"), [row[1:] for row in SIZES], ids=[row[0] for row in SIZES]
 )
 @pytest.mark.parametrize("lossy", [0.0, 0.2])
-def test_ends_at_three_instances_of_three_regions_add_up(monkeypatch, instances, regions, lossy):
+def test_crashes_seen_by_instances_in_three_regions_add_up(monkeypatch, instances, regions, lossy):
     fleet = fleet_of(monkeypatch, instances, regions, lossy)
     for region, server in ((1, "a"), (2, "b"), (3, "c")):
         fleet.instances[f"10.{region}.0.2"].crashes.note_end(ONE, server)
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("lossy", [0.0, 0.2])
-def test_an_instance_that_starts_later_hears_of_suspects(monkeypatch, lossy):
+def test_newly_started_instance_learns_of_suspects(monkeypatch, lossy):
     fleet = fleet_of(monkeypatch, 5, 3, lossy)
     for server in ("a", "b", "c"):
         fleet.instances["10.1.0.2"].crashes.note_end(ONE, server)
@@ -83,8 +83,8 @@
 
 
 @pytest.mark.parametrize("lossy", [0.0, 0.2])
-def test_many_suspects_at_once_are_all_known_everywhere(monkeypatch, lossy):
-    # More than a datagram tells, and more than may be told at once.
+def test_many_concurrent_suspects_are_all_known_everywhere(monkeypatch, lossy):
+    # 40 suspects exceed both the capacity of a datagram and the broadcast rate limit.
     fleet = fleet_of(monkeypatch, 26, 3, lossy)
     digests = [RequestDigest(number.to_bytes(16, "big")) for number in range(40)]
     for number, digest in enumerate(digests):
@@ -96,7 +96,7 @@
         assert {one.crashes.verdict(digest) for digest in digests} == {Verdict.QUARANTINED}
 
 
-def test_an_excuse_is_heard_everywhere(monkeypatch):
+def test_cleared_suspect_is_known_everywhere(monkeypatch):
     fleet = fleet_of(monkeypatch, 5, 3)
     for server in ("a", "b"):
         fleet.instances["10.1.0.2"].crashes.note_end(ONE, server)
@@ -106,11 +106,12 @@
     assert set(verdicts(fleet)) == {Verdict.CLEAR}
 
 
-# Who is away, and for how long (ms): rounds tell of a suspect for 12 s.
+# Which instances are partitioned off, and for how long (ms): rounds repeat a report on a suspect
+# for 12 s.
 AWAY = [
-    ("a region, for a moment", lambda ip: region_of(ip) == "3", 2_000.0),
-    ("a region, for long", lambda ip: region_of(ip) == "3", 30_000.0),
-    ("one instance, as one that sleeps", lambda ip: ip == "10.3.0.2", 30_000.0),
+    ("a region, briefly", lambda ip: region_of(ip) == "3", 2_000.0),
+    ("a region, for a long time", lambda ip: region_of(ip) == "3", 30_000.0),
+    ("one instance, like a suspended process", lambda ip: ip == "10.3.0.2", 30_000.0),
 ]
 
 
@@ -118,7 +119,7 @@
     ("is_away", "away_ms"), [row[1:] for row in AWAY], ids=[row[0] for row in AWAY]
 )
 @pytest.mark.parametrize("instances", [3, 26])
-def test_who_was_away_hears_what_it_missed(monkeypatch, instances, is_away, away_ms):
+def test_instances_catch_up_after_a_partition(monkeypatch, instances, is_away, away_ms):
     fleet = fleet_of(monkeypatch, instances, 3)
     fleet.far_side = frozenset(ip for ip in fleet.instances if is_away(ip))
     for server in ("a", "b", "c"):
@@ -130,7 +131,7 @@
     assert set(verdicts(fleet)) == {Verdict.QUARANTINED}
 
 
-def test_what_crosses_between_regions_is_bounded_by_regions(monkeypatch):
+def test_cross_region_traffic_depends_on_the_number_of_regions_only(monkeypatch):
     fleet = fleet_of(monkeypatch, 26, 3)
     sent = count_sent(monkeypatch)
     for server in ("a", "b", "c"):
@@ -140,15 +141,15 @@
         for sender, receiver, data in sent
         if region_of(sender) != region_of(receiver) and b"CrashNews" in data
     ]
-    # The second end and the third, to two instances of two regions each.
+    # The second and the third crash are each reported to two instances in each of two regions.
     assert len(told_at_once) == 2 * _gossip.TELLERS * 2
     assert max(map(len, told_at_once)) < 100
 
 
-def test_a_loss_of_many_servers_costs_little(monkeypatch):
+def test_crash_of_many_servers_causes_little_traffic(monkeypatch):
     fleet = fleet_of(monkeypatch, 26, 3)
     sent = count_sent(monkeypatch)
-    # A region's 14 engines end with 16 requests each; none of these is under two ends.
+    # The 14 engines of a region crash with 16 requests each; no request is hit by two crashes.
     for number in range(14 * 16):
         at = fleet.instances[f"10.1.0.{number % 26 + 1}"]
         at.crashes.note_end(RequestDigest(number.to_bytes(16, "big")), f"e{number % 14}")
@@ -157,7 +158,7 @@
     assert max(len(data) for _, _, data in sent) < 1_400
 
 
-def test_at_once_is_told_as_far_as_the_allowance_goes():
+def test_immediate_reports_are_rate_limited():
     table = CrashTable(lambda change: told.append(exchange.news_of(change, instances=26)))
     exchange = CrashExchange(table)
     told: list[CrashNews | None] = []
@@ -167,9 +168,9 @@
         table.note_end(digest, "b")
     at_once = [one for one in told if one is not None]
     assert 0 < len(at_once) < 20
-    # What is left out goes with the rounds.
+    # The remaining reports are sent in rounds.
     assert len(exchange.notes_for(True, False)) == _crash_exchange.MOST_TOLD
 
 
-def test_nothing_known_adds_nothing():
+def test_empty_crash_table_adds_no_notes():
     assert CrashExchange(CrashTable()).notes_for(True, True) == []
--- a/sparline/fleet/tests/test_gossip.py
+++ b/sparline/fleet/tests/test_gossip.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("knows_a_sibling", [False, True])
-def test_a_young_instance_asks_every_seed_in_every_round(port, knows_a_sibling):
+def test_new_instance_queries_every_seed_in_every_round(port, knows_a_sibling):
     if knows_a_sibling:
         port._members.take(Gossip(SIBLING, 1, True, [], [], [], [], False))
     for _ in range(3):
@@ -71,7 +71,7 @@
         assert asked(port) == {"127.0.3.2", "127.0.3.3"}
 
 
-def test_an_old_instance_asks_for_what_is_missing_now_and_then(port):
+def test_running_instance_probes_missing_peers_periodically(port):
     port._members.take(Gossip(SIBLING, 1, True, [], [], [], [], False))
     for _ in range(40):
         port.round()
@@ -83,7 +83,7 @@
     assert all(len(peers) == 1 for peers in asking)
 
 
-def test_a_phase_is_told_to_every_sibling_and_to_one_of_each_other_region(port):
+def test_phase_change_is_sent_to_every_sibling_and_one_instance_per_other_region(port):
     near = [f"127.0.3.{number}" for number in range(10, 20)]
     for ip in near:
         port._members.take(Gossip(member(ip, "north"), 1, True, [], [], [], [], False))
@@ -100,7 +100,7 @@
     return MemberNote(ip, ip, 1, 1, MemberPhase.live, region, f"{region}-1")
 
 
-def test_a_load_is_told_to_siblings_at_once(port):
+def test_load_change_is_broadcast_to_siblings_immediately(port):
     port._members.take(Gossip(SIBLING, 1, True, [], [], [], [], False))
     far = MemberNote("127.0.4.1", "f", 1, 1, MemberPhase.live, "south", "south-1")
     port._members.take(Gossip(far, 1, True, [], [], [], [], False))
@@ -109,7 +109,7 @@
     assert port.sent == [([SIBLING.ip], news)]
 
 
-def test_all_siblings_know_a_new_instance_within_two_rounds(monkeypatch):
+def test_new_instance_is_known_to_all_siblings_within_two_rounds(monkeypatch):
     fleet = FakeFleet(random.Random(1), seeds=["10.1.0.1", "10.2.0.1"])
     fleet.install(monkeypatch)
     for region in (1, 2):
@@ -123,7 +123,7 @@
     assert {len(one.members.sharers(one.region)) for one in siblings} == {27}
 
 
-def test_reading_ends_with_its_port(monkeypatch):
+def test_read_returns_when_the_port_is_closed(monkeypatch):
     own = MemberNote("127.0.0.1", "own", 1, 1, MemberPhase.starting, "north", "north-1")
     members = Members(own)
     port = GossipPort(
@@ -140,19 +140,17 @@
 
 def note_fault(faults: list[int]) -> None:
     faults.append(1)
-    assert len(faults) < 100, "expected the end of reading, found one fault after the other"
+    assert len(faults) < 100, "expected read() to end with its port, found repeated errors"
 
 
-# An instance that starts is live once it holds a configuration, some 0.1 s later; callers wait for it,
-# and what it may not run in its own region it has to send to another.
+# A starting instance is live once it holds a configuration, after about 0.1 s. Callers wait for
+# this, and requests that it may not run in its own region have to be sent to another one.
 STARTS = [("one each", 1), ("three each", 3), ("twenty-six each", 26)]
 
 
 @pytest.mark.parametrize("lossy", [0.0, 0.1])
 @pytest.mark.parametrize("instances", [row[1] for row in STARTS], ids=[row[0] for row in STARTS])
-def test_regions_that_start_together_soon_know_that_the_others_are_live(
-    monkeypatch, instances, lossy
-):
+def test_regions_that_start_together_soon_see_each_other_live(monkeypatch, instances, lossy):
     seeds = ["10.1.0.1", "10.2.0.1", "10.3.0.1"]
     fleet = FakeFleet(random.Random(3), seeds=seeds, starting_ms=100, lossy=lossy)
     fleet.install(monkeypatch)
--- a/sparline/fleet/tests/test_load_board.py
+++ b/sparline/fleet/tests/test_load_board.py
@@ -1,4 +1,4 @@
-"""The sum of a server's changes is that of the changes that count, whatever came and went."""
+"""The incremental sum of a server's changes equals the sum of the changes in effect."""
 
 import random
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_the_load_is_the_reading_and_all_changes_since(monkeypatch, seed):
+def test_load_is_the_reading_plus_all_later_changes(monkeypatch, seed):
     chance = random.Random(seed)
     now = [1_000_000.0]
     monkeypatch.setattr(_load_board, "now_ms", lambda: now[0])
@@ -22,7 +22,7 @@
     for _ in range(300):
         now[0] += chance.choice((1.0, 20.0, 900.0))
         if chance.random() < 0.1:
-            # A newer reading never covers less.
+            # The time that readings cover never decreases.
             covers = max(covers, now[0] - chance.uniform(0, 300))
             reading = LoadReading(now[0], covers, LoadOf(500, 90_000, 9_000), False)
             board.take(SERVER, reading)
--- a/sparline/fleet/tests/test_load_exchange.py
+++ b/sparline/fleet/tests/test_load_exchange.py
@@ -43,12 +43,12 @@
 
 
 class Exchange:
-    """Hold one instance's exchange, with three siblings and one instance elsewhere."""
+    """Set up one instance's exchange, with three siblings and one instance in another region."""
 
     def __init__(self, siblings: tuple[str, ...] = SIBLINGS) -> None:
         self.own_loads: dict[str, LoadOf] = {}
         self.doubted: list[str] = []
-        self.shown: list[tuple[str, float]] = []  # what siblings' readings showed
+        self.shown: list[tuple[str, float]] = []  # slowdowns reported by siblings
         self.siblings = siblings
         self.members = Members(MemberNote(OWN, OWN, 1, 1, MemberPhase.live, "north", "north-1"))
         for ip in siblings:
@@ -109,13 +109,13 @@
 
 LONG, SHORT = LoadOf(1, 10_000, 9_000), LoadOf(1, 400, 300)
 TOLD_AT_ONCE = [
-    # change, near, shares told to the aggregator, news told to all siblings
+    # change, same region, share datagrams to the aggregators, broadcasts to all siblings
     ("a long prompt", LONG, True, 1, 1),
-    ("a long prompt that was read", LoadOf(0, 0, -9_000), True, 1, 1),
-    ("a prompt between them", LoadOf(1, 600, 500), True, 1, 1),
+    ("a long prompt after prefill", LoadOf(0, 0, -9_000), True, 1, 1),
+    ("a medium prompt", LoadOf(1, 600, 500), True, 1, 1),
     ("a short prompt", SHORT, True, 1, 0),
-    ("a short prompt that was read", LoadOf(0, 0, -150), True, 0, 0),
-    ("an end", LoadOf(-1, -400, 0), True, 1, 0),
+    ("a short prompt after prefill", LoadOf(0, 0, -150), True, 0, 0),
+    ("a finished request", LoadOf(-1, -400, 0), True, 1, 0),
     ("a long prompt of another region", LONG, False, 0, 0),
 ]
 
@@ -125,7 +125,7 @@
     [row[1:] for row in TOLD_AT_ONCE],
     ids=[row[0] for row in TOLD_AT_ONCE],
 )
-def test_what_is_told_at_once(one, change, near, to_aggregator, to_all):
+def test_which_changes_are_sent_immediately(one, change, near, to_aggregator, to_all):
     sent = one.loads.note_change(one.others, change, None, near)
     told_shares = [each for each in sent if isinstance(each.message, LoadShares)]
     news = [each for each in sent if isinstance(each.message, LoadNews)]
@@ -134,7 +134,7 @@
     assert [set(each.peers) for each in news] == [set(SIBLINGS)] * to_all
 
 
-def test_readings_that_are_not_long_are_told_at_once_while_they_are_few(one, clock):
+def test_broadcasts_of_medium_prefills_are_rate_limited(one, clock):
     def told() -> int:
         change = LoadOf(1, 600, 500)
         sent = [one.loads.note_change(one.others, change, None, True) for _ in range(50)]
@@ -142,14 +142,14 @@
 
     assert told() == MOST_SAVED
     clock.now += 100
-    # Four instances share what one of them may be told: 100 a second.
+    # Four instances share the rate of 100 broadcasts per second.
     assert told() == 100 * 0.1 / 4 // 1
-    # Long ones are told all the same.
+    # Long prefills are exempt from the limit.
     long = one.loads.note_change(one.others, LONG, None, True)
     assert any(isinstance(each.message, LoadNews) for each in long)
 
 
-def test_what_a_reading_showed_of_a_server_is_told_with_its_end(one):
+def test_measured_slowdown_is_sent_at_the_end_of_a_prefill(one):
     sent = one.loads.note_change(one.others, LoadOf(0, 0, -9_000), 0.75, True)
     news = next(each.message for each in sent if isinstance(each.message, LoadNews))
     one.loads.take_news(news)
@@ -158,15 +158,15 @@
 
 
 SUMS = [
-    ("of two", [("a", 1, LoadOf(2, 200, 20)), ("b", 1, LoadOf(3, 300, 30))], LoadOf(6, 510, 55)),
-    ("told anew", [("a", 1, LoadOf(2, 200, 20)), ("a", 2, LoadOf(1, 100, 10))], LoadOf(2, 110, 15)),
-    ("overtaken", [("a", 2, LoadOf(2, 200, 20)), ("a", 1, LoadOf(9, 900, 90))], LoadOf(3, 210, 25)),
+    ("two", [("a", 1, LoadOf(2, 200, 20)), ("b", 1, LoadOf(3, 300, 30))], LoadOf(6, 510, 55)),
+    ("resent", [("a", 1, LoadOf(2, 200, 20)), ("a", 2, LoadOf(1, 100, 10))], LoadOf(2, 110, 15)),
+    ("reordered", [("a", 2, LoadOf(2, 200, 20)), ("a", 1, LoadOf(9, 900, 90))], LoadOf(3, 210, 25)),
     ("ended", [("a", 1, LoadOf(2, 200, 20)), ("a", 2, LoadOf())], LoadOf(1, 10, 5)),
 ]
 
 
 @pytest.mark.parametrize(("told", "total"), [row[1:] for row in SUMS], ids=[row[0] for row in SUMS])
-def test_an_aggregator_adds_up_the_newest_shares_and_its_own(one, clock, told, total):
+def test_aggregator_sums_the_newest_shares_and_its_own(one, clock, told, total):
     one.own_loads[one.mine] = LoadOf(1, 10, 5)
     for ip, sequence, load in told:
         one.loads.take_shares(shares(one.mine, load, ip, sequence))
@@ -177,13 +177,13 @@
     assert one.told(one.mine) == total
 
 
-def test_a_restarted_siblings_numbers_begin_anew(one, clock):
+def test_sequence_numbers_restart_with_a_siblings_incarnation(one, clock):
     one.loads.take_shares(shares(one.mine, LoadOf(9, 900, 90), sequence=50))
     one.loads.take_shares(shares(one.mine, LoadOf(1, 100, 10), sequence=1, incarnation=2))
     assert one.loads._shares.sum(one.mine).load == LoadOf(1, 100, 10)
 
 
-def test_a_share_that_is_not_told_again_is_over(one, clock):
+def test_share_expires_if_not_sent_again(one, clock):
     one.loads.take_shares(shares(one.mine, LoadOf(2, 200, 20)))
     clock.now += _load_shares.SHARE_MS + 1
     assert one.loads._shares.sum(one.mine).load == LoadOf()
@@ -198,7 +198,7 @@
     one.loads.take_readings([LoadReadingNote(age_ms, write_load(server, load), doubted)])
 
 
-def test_the_newest_reading_stays_whoever_tells_it(one):
+def test_newest_reading_is_kept_whatever_the_order_of_arrival(one):
     read(one, one.others, 300)
     read(one, one.others, 800, LoadOf(9, 900, 90))
     assert one.told(one.others) == READ
@@ -206,7 +206,7 @@
     assert one.told(one.others) == LoadOf(4, 400, 40)
 
 
-def test_what_changed_since_a_reading_is_added_to_it(one, clock):
+def test_changes_after_a_reading_are_added_to_it(one, clock):
     one.loads.note_change(one.others, LoadOf(1, 100, 10), None, True)
     clock.now += 500
     read(one, one.others, 200)
@@ -225,7 +225,7 @@
 
 
 @pytest.mark.parametrize(("age_ms", "told"), AGES)
-def test_an_old_reading_tells_nothing(one, clock, age_ms, told):
+def test_reading_expires(one, clock, age_ms, told):
     read(one, one.others, 0)
     clock.now += age_ms
     assert one.told(one.others) == told
@@ -234,7 +234,7 @@
 DOUBTS = [
     ("not doubted", False, 0, False),
     ("doubted", True, 0, True),
-    ("long ago", True, 4_100, False),
+    ("doubted but expired", True, 4_100, False),
 ]
 
 
@@ -243,13 +243,13 @@
     [row[1:] for row in DOUBTS],
     ids=[row[0] for row in DOUBTS],
 )
-def test_a_server_is_doubted_where_its_region_says_so(one, clock, doubted, later_ms, is_doubted):
+def test_server_is_doubted_if_its_newest_reading_says_so(one, clock, doubted, later_ms, is_doubted):
     read(one, one.others, 0, doubted=doubted)
     clock.now += later_ms
     assert one.loads.board.is_doubted(one.others) is is_doubted
 
 
-def test_one_siblings_doubt_is_part_of_the_reading_until_it_trusts_again(one, clock):
+def test_doubt_of_one_sibling_is_in_the_reading_until_withdrawn(one, clock):
     doubting = shares(one.mine, LoadOf())
     doubting = msgspec.structs.replace(
         doubting, shares=[msgspec.structs.replace(doubting.shares[0], doubted=True)]
@@ -263,8 +263,9 @@
     assert not one.loads.board.is_doubted(one.mine)
 
 
-def test_one_that_knows_nobody_yet_tells_nothing_of_loads(clock):
-    # It would tell all others that every server is idle, as the newest that is known.
+def test_instance_without_known_siblings_publishes_no_loads(clock):
+    # Otherwise it would report every server as idle, and this newest reading would replace all
+    # others.
     one = Exchange(siblings=())
     assert one.loads.readings_for(True) == []
     one.siblings = SIBLINGS
@@ -275,17 +276,17 @@
     assert one.told(one.mine) == LoadOf()
 
 
-def test_one_that_stays_alone_tells_of_loads_after_a_while(clock):
+def test_single_instance_publishes_loads_after_a_delay(clock):
     one = Exchange(siblings=())
     one.pass_ms(clock, 1_500)
     assert one.told(one.mine) == LoadOf()
 
 
-def test_those_that_start_together_tell_of_loads_at_once(one):
+def test_instances_that_start_together_publish_loads_immediately(one):
     assert one.told(one.mine) == LoadOf()
 
 
-def test_one_that_becomes_the_aggregator_leaves_what_is_known_alone(one, clock):
+def test_new_aggregator_keeps_the_existing_reading_at_first(one, clock):
     one.loads._since_ms.clear()
     one.loads.board.take(one.mine, LoadReading(clock.now + 1, clock.now + 1, READ, False))
     one.pass_ms(clock, 1_000)
@@ -294,12 +295,12 @@
     assert one.told(one.mine) == LoadOf()
 
 
-def test_what_is_told_at_once_counts_before_any_reading(one):
+def test_broadcast_change_counts_before_any_reading(one):
     one.loads.take_news(LoadNews(write_load(one.others, LONG)))
     assert one.told(one.others) == LONG
 
 
-def test_the_second_aggregator_stands_in_for_a_silent_first(one, clock):
+def test_second_aggregator_takes_over_from_a_silent_first(one, clock):
     one.loads.take_shares(shares(one.second, LoadOf(2, 200, 20)))
     clock.now += 1
     read(one, one.second, 0)
@@ -310,7 +311,7 @@
     assert one.told(one.second) == LoadOf(2, 200, 20)
 
 
-def test_shares_and_doubts_are_told_again_to_both_aggregators(one, clock):
+def test_shares_and_doubts_are_resent_to_both_aggregators(one, clock):
     one.own_loads[one.others] = SHORT
     one.doubted.append(one.mine)
     told: dict[str, set[str]] = {}
@@ -323,7 +324,7 @@
     assert sum(one.mine in names for names in told.values()) == 1
 
 
-def test_another_region_is_told_of_the_own_one_alone(one, clock):
+def test_only_readings_of_the_own_region_are_sent_to_other_regions(one, clock):
     read(one, one.others, 0)
     read(one, "far", 0)
     names = {
@@ -335,7 +336,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_who_adds_up_is_the_same_however_the_region_came_to_be(seed):
+def test_aggregators_do_not_depend_on_the_order_of_membership_changes(seed):
     chance = random.Random(seed)
     ips = [f"10.0.0.{number}" for number in range(40)]
     servers = [f"e{number}" for number in range(30)]
@@ -349,22 +350,23 @@
         assert [grown.of(one) for one in servers] == [fresh.of(one) for one in servers]
 
 
-# What runs at a server, what its sender takes to run there, and whether it is put right at once.
+# Requests running at a server, the sender's estimate of them, and whether it is corrected
+# immediately.
 BELIEFS = [
-    ("right", 12, 12, False),
-    ("a little off", 12, 9, False),
+    ("correct", 12, 12, False),
+    ("slightly off", 12, 9, False),
     ("far too few", 12, 4, True),
     ("far too many", 2, 12, True),
-    ("a quarter of many", 40, 31, False),
+    ("less than a quarter of many", 40, 31, False),
     ("more than a quarter of many", 40, 29, True),
-    ("not asked for", 12, None, False),
+    ("no estimate sent", 12, None, False),
 ]
 
 
 @pytest.mark.parametrize(
     ("running", "believed", "told"), [row[1:] for row in BELIEFS], ids=[row[0] for row in BELIEFS]
 )
-def test_whoever_takes_a_load_for_another_is_told_at_once(one, clock, running, believed, told):
+def test_wrong_load_estimate_is_corrected_immediately(one, clock, running, believed, told):
     one.pass_ms(clock, 2_000)
     one.loads.take_shares(shares(one.mine, LoadOf(running - 1, 0, 0), "b"))
     share = shares(one.mine, LoadOf(1, 0, 0), "a", believed_running=believed)
@@ -373,7 +375,7 @@
     assert words == ([running] if told else [])
 
 
-def test_a_word_on_a_load_is_taken_as_the_newest_reading(one, clock):
+def test_load_correction_is_used_as_the_newest_reading(one, clock):
     one.loads.take_news(LoadNews(write_load(one.others, LoadOf(1, 500, 500))))
     clock.now += 20
     word = LoadWord(LoadReadingNote(0, write_load(one.others, LoadOf(14, 9_000, 700)), False))
@@ -381,7 +383,7 @@
     assert one.told(one.others) == LoadOf(14, 9_000, 700)
 
 
-def test_one_that_stands_in_or_is_new_puts_nobody_right(one, clock):
+def test_only_the_established_first_aggregator_sends_corrections(one, clock):
     wrong = shares(one.mine, LoadOf(20, 0, 0), believed_running=1)
     one.pass_ms(clock, 2_000)
     assert one.loads.take_shares(wrong)
@@ -389,7 +391,7 @@
     assert not one.loads.take_shares(shares(one.others, LoadOf(20, 0, 0), believed_running=1))
 
 
-def test_a_request_that_comes_asks_for_a_word_and_one_that_ends_does_not(one, clock):
+def test_estimate_is_sent_when_a_request_starts_but_not_when_it_ends(one, clock):
     one.pass_ms(clock, 2_000)
     one.loads.board.take(one.others, LoadReading(clock.now, clock.now, LoadOf(7, 0, 0), False))
     clock.now += 10
--- a/sparline/fleet/tests/test_members.py
+++ b/sparline/fleet/tests/test_members.py
@@ -47,32 +47,32 @@
     ("live", [gossip(note("a"))], {"a"}),
     ("starting", [gossip(note("a", phase=MemberPhase.starting))], set()),
     ("leaving after live", [gossip(note("a")), gossip(note("a", counter=11, phase=MemberPhase.leaving))], set()),
-    ("overtaken datagram", [gossip(note("a", counter=11, phase=MemberPhase.leaving)), gossip(note("a", counter=10))], set()),
-    ("a restart, even with an earlier time of day", [gossip(note("a", phase=MemberPhase.leaving)), gossip(note("a", incarnation=4, counter=1))], {"a"}),
-    ("a full note by hearsay", [gossip(note("a"), members=[note("b")])], {"a", "b"}),
-    ("a heartbeat of a stranger", [gossip(note("a"), beats=[beat("c", 1, 1)])], {"a"}),
-    ("a heartbeat by hearsay that says leaving", [gossip(note("a")), gossip(note("b"), beats=[beat("a", 5, 11, MemberPhase.leaving)])], {"b"}),
-    ("an older heartbeat by hearsay", [gossip(note("a")), gossip(note("b"), beats=[beat("a", 5, 9, MemberPhase.leaving)])], {"a", "b"}),
-    ("itself", [gossip(note("own"))], set()),
+    ("datagrams out of order", [gossip(note("a", counter=11, phase=MemberPhase.leaving)), gossip(note("a", counter=10))], set()),
+    ("a restart, even with an earlier wall clock time", [gossip(note("a", phase=MemberPhase.leaving)), gossip(note("a", incarnation=4, counter=1))], {"a"}),
+    ("a relayed member note", [gossip(note("a"), members=[note("b")])], {"a", "b"}),
+    ("a relayed heartbeat of an unknown instance", [gossip(note("a"), beats=[beat("c", 1, 1)])], {"a"}),
+    ("a relayed heartbeat with the leaving phase", [gossip(note("a")), gossip(note("b"), beats=[beat("a", 5, 11, MemberPhase.leaving)])], {"b"}),
+    ("an older relayed heartbeat", [gossip(note("a")), gossip(note("b"), beats=[beat("a", 5, 9, MemberPhase.leaving)])], {"a", "b"}),
+    ("its own datagram", [gossip(note("own"))], set()),
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize(
     ("datagrams", "live"), [row[1:] for row in HEARD], ids=[row[0] for row in HEARD]
 )
-def test_who_lives(members, datagrams, live):
+def test_live_members(members, datagrams, live):
     for datagram in datagrams:
         members.take(datagram)
     assert ips(members.live()) == live
 
 
-def test_a_stranger_in_a_heartbeat_is_named_to_be_asked(members):
+def test_unknown_instance_in_a_heartbeat_is_recorded(members):
     members.take(gossip(note("a"), beats=[beat("c", 1, 1)]))
     assert members.strangers == [member_key("c")]
 
 
 SILENCE = [
-    # silence, region, others known, still live, still shares
+    # silence (ms), region, number of known instances, still live, still shares limits
     (2_900, "north", 1, True, True),
     (3_100, "north", 1, False, True),
     (3_100, "south", 1, False, True),
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize(("silence_ms", "region", "others", "live", "shares"), SILENCE)
-def test_silence(members, clock, silence_ms, region, others, live, shares):
+def test_silent_member_times_out(members, clock, silence_ms, region, others, live, shares):
     for number in range(others - 1):
         members.take(gossip(note(f"x{number}", "west")))
     members.take(gossip(note("a", region)))
@@ -94,7 +94,8 @@
 
 
 STORE_WORDS = [
-    # whether it reached the store, milliseconds since it said so, whether any live one reaches it
+    # whether a member reached the store, time since it reported so (ms), whether the store counts
+    # as reached
     (True, 0, True),
     (True, 7_900, True),
     (True, 8_100, False),
@@ -103,10 +104,8 @@
 
 
 @pytest.mark.parametrize(("reached", "ago_ms", "is_reached"), STORE_WORDS)
-def test_a_members_word_of_the_store_counts_for_a_while(
-    members, clock, reached, ago_ms, is_reached
-):
-    # One of another region speaks to few; that its heart beats on says nothing of the store.
+def test_members_store_report_expires(members, clock, reached, ago_ms, is_reached):
+    # A relayed heartbeat of the member carries no information about the store.
     members.take(gossip(note("a"), store_reached=reached))
     clock.now += ago_ms
     members.take(gossip(note("b"), store_reached=False, beats=[beat("a", 5, 11)]))
--- a/sparline/fleet/tests/test_quotas.py
+++ b/sparline/fleet/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas over all instances: never over what operators bear, and what is owed is let in."""
+"""Fleet-wide quotas: admission stays within the accepted excess, and owed requests are admitted."""
 
 from collections.abc import Callable
 
@@ -17,22 +17,23 @@
 )
 from sparline.tests.fake_fleet import FakeFleet
 
-# Share of what is owed that may be turned away, with demand that stays and with demand that moves.
+# Maximum fraction of owed tokens that may be rejected, with steady and with moving load.
 LOST_STEADY = 0.005
 LOST_MOVING = 0.02
-# Bytes a second that an instance may send for the quota of one organisation that is at its limit.
+# Maximum rate at which an instance sends datagrams for an organisation at its quota limit
+# (bytes/s).
 MOST_BYTES_A_S = 2_000
 SMALL, LARGE = 50_000.0, 540_000.0
-# Instances, and tokens a second of the quota.
+# Number of instances, and quota in tokens per second.
 FLEETS = [(6, SMALL), (6, LARGE), (24, SMALL), (24, LARGE), (74, LARGE)]
 USUAL = Demand(0.55)
-# One organisation at 7.5 times its usual.
+# 7.5 times the usual load.
 HOT = Demand(4.1)
 IN_TURN = ((1.0, 0.0, 0.0), (0.0, 1.0, 0.0), (0.0, 0.0, 1.0))
 
 
 def in_turn(factor: float) -> Callable[[float], Demand]:
-    """Return demand that moves to the next region each 6 s."""
+    """Return load that moves to the next region every 6 s."""
     return lambda ms: Demand(factor, IN_TURN[int(ms // 6_000) % 3])
 
 
@@ -41,13 +42,13 @@
 
 
 def cut_east(fleet: FakeFleet, ms: float) -> None:
-    """Cut a region off for 6 s."""
+    """Partition a region off for 6 s."""
     east = frozenset(ip for ip, one in fleet.instances.items() if one.region == "east")
     fleet.far_side = east if 3_000 <= ms < 9_000 else frozenset()
 
 
 def restart_all(fleet: FakeFleet, ms: float) -> None:
-    """Let all lose power at once, and start 2 s later."""
+    """Stop all instances at once, and restart them after 2 s."""
     if ms != 8_000:
         return
     for ip in list(fleet.instances):
@@ -57,7 +58,7 @@
 
 
 def lose_holders(fleet: FakeFleet, ms: float) -> None:
-    """End the account holder of each region at once."""
+    """Stop the account holders of all regions at once."""
     if ms != 8_000:
         return
     for region in REGIONS:
@@ -76,9 +77,9 @@
 
 
 OWED = [
-    # what callers ask, what happens, share of datagrams lost, share of what is owed that may be refused
-    ("half of it", lambda _ms: Demand(0.5), nothing, 0.0, LOST_STEADY),
-    ("nearly all of it", lambda _ms: Demand(0.95), nothing, 0.0, LOST_STEADY),
+    # load, fault, fraction of datagrams lost, maximum fraction of owed tokens that may be rejected
+    ("half the quota", lambda _ms: Demand(0.5), nothing, 0.0, LOST_STEADY),
+    ("nearly the whole quota", lambda _ms: Demand(0.95), nothing, 0.0, LOST_STEADY),
     ("moving between regions", in_turn(0.8), nothing, 0.0, LOST_MOVING),
     ("a region is cut off", lambda _ms: USUAL, cut_east, 0.0, LOST_MOVING),
     ("all restart", lambda _ms: USUAL, restart_all, 0.0, LOST_MOVING),
@@ -89,20 +90,20 @@
 @pytest.mark.parametrize(
     ("demand", "at", "lossy", "lost"), [row[1:] for row in OWED], ids=[row[0] for row in OWED]
 )
-def test_what_is_below_the_quota_is_let_in(monkeypatch, demand, at, lossy, lost, instances, per_s):
+def test_load_below_the_quota_is_admitted(monkeypatch, demand, at, lossy, lost, instances, per_s):
     seen = replay(monkeypatch, instances, per_s, demand, at, lossy)
     assert seen.lost_share <= lost
     assert seen.most_in_window <= allowed(per_s)
 
 
 OVER = [
-    ("one region asks 7.5 times its usual", hot_between(3_000, 9_500, Demand(4.1, IN_TURN[0])), nothing, 0.0),
-    ("all regions do", hot_between(3_000, 13_500, HOT), nothing, 0.0),
-    ("that moves", in_turn(4.1), nothing, 0.0),
-    ("a region is cut off as it begins", hot_between(3_000, 16_000, HOT), cut_east, 0.0),
-    ("all restart meanwhile", lambda _ms: HOT, restart_all, 0.0),
+    ("one region at 7.5 times its usual load", hot_between(3_000, 9_500, Demand(4.1, IN_TURN[0])), nothing, 0.0),
+    ("all regions at 7.5 times their usual load", hot_between(3_000, 13_500, HOT), nothing, 0.0),
+    ("moving between regions", in_turn(4.1), nothing, 0.0),
+    ("a region is cut off as the overload begins", hot_between(3_000, 16_000, HOT), cut_east, 0.0),
+    ("all restart during the overload", lambda _ms: HOT, restart_all, 0.0),
     ("the account holders are lost", lambda _ms: HOT, lose_holders, 0.0),
-    ("a fifth of the datagrams is lost", lambda _ms: HOT, nothing, 0.2),
+    ("a fifth of the datagrams are lost", lambda _ms: HOT, nothing, 0.2),
 ]  # fmt: skip
 
 
@@ -110,14 +111,14 @@
 @pytest.mark.parametrize(
     ("demand", "at", "lossy"), [row[1:] for row in OVER], ids=[row[0] for row in OVER]
 )
-def test_no_window_holds_more_than_operators_bear(monkeypatch, demand, at, lossy, instances, per_s):
+def test_admission_in_any_window_is_bounded(monkeypatch, demand, at, lossy, instances, per_s):
     seen = replay(monkeypatch, instances, per_s, demand, at, lossy)
     assert seen.most_in_window <= allowed(per_s)
-    # Nor is the quota lost with its bound.
+    # The limit must not cost the organisation its quota.
     assert seen.admitted >= 0.75 * seen.owed
 
 
-def test_a_lower_limit_binds_one_window_later(monkeypatch):
+def test_reduced_quota_takes_effect_after_one_window(monkeypatch):
     fleet = make_fleet(monkeypatch, 24, SMALL)
     lower = SMALL / 5
     admitted: list[tuple[float, float]] = []
@@ -135,12 +136,12 @@
 
 
 @pytest.mark.parametrize("instances", [24, 74])
-def test_what_a_quota_at_its_limit_costs(monkeypatch, instances):
+def test_traffic_for_a_quota_at_its_limit_is_bounded(monkeypatch, instances):
     seen = replay(monkeypatch, instances, LARGE, lambda _ms: HOT)
     assert seen.bytes_a_s <= MOST_BYTES_A_S
 
 
-def test_a_quiet_organisation_costs_nothing(monkeypatch):
+def test_idle_organisation_causes_no_traffic(monkeypatch):
     fleet = make_fleet(monkeypatch, 24, SMALL)
     fleet.quota_bytes = 0
     fleet.pass_ms(3_000)
--- a/sparline/fleet/tests/test_store.py
+++ b/sparline/fleet/tests/test_store.py
@@ -24,10 +24,10 @@
 
 ORDERS = [
     ("in order", [([A1], 1), ([B2, A3], 3)], {"a": b"3", "b": b"2"}, 3),
-    ("the other way round", [([A3], 3), ([B2, A1], 2)], {"a": b"3", "b": b"2"}, 3),
-    ("twice", [([A1, B2], 2), ([A1, B2], 2)], {"a": b"1", "b": b"2"}, 2),
+    ("in reverse order", [([A3], 3), ([B2, A1], 2)], {"a": b"3", "b": b"2"}, 3),
+    ("repeated", [([A1, B2], 2), ([A1, B2], 2)], {"a": b"1", "b": b"2"}, 2),
     ("deleted", [([A1, B2], 2), ([A_GONE], 4)], {"b": b"2"}, 4),
-    ("deleted before it is heard of", [([A_GONE], 4), ([A1], 1)], {}, 4),
+    ("deletion before the item arrives", [([A_GONE], 4), ([A1], 1)], {}, 4),
 ]
 
 
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize(
     ("steps", "held", "revision"), [row[1:] for row in ORDERS], ids=[row[0] for row in ORDERS]
 )
-def test_all_orders_of_changes_end_alike(steps, held, revision):
+def test_changes_converge_in_any_order(steps, held, revision):
     state: dict[str, bytes] = {}
     copy = copy_of(state)
     for changes, up_to in steps:
@@ -51,7 +51,7 @@
     assert (state, copy.revision) == (held, revision)
 
 
-def test_a_whole_list_deletes_what_it_lacks_but_never_goes_back():
+def test_complete_list_deletes_missing_items_but_never_reverts():
     state: dict[str, bytes] = {}
     copy = copy_of(state)
     copy.apply([A1, B2], 2)
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("since", [0, 1, 2, 3, 4])
-def test_a_peer_that_takes_a_copy_holds_the_same(since):
+def test_peer_that_applies_a_copy_has_the_same_items(since):
     state: dict[str, bytes] = {}
     copy = copy_of(state)
     steps = [([A1], 1), ([B2], 2), ([A3], 3), ([A_GONE], 4)]
@@ -77,7 +77,7 @@
     assert peer.revision == 4
 
 
-def test_a_copy_of_what_changed_before_the_first_read_is_whole():
+def test_copy_from_before_the_first_read_is_complete():
     copy = copy_of({})
     copy.replace([B2], 9)
     assert copy.since(5).whole
@@ -99,7 +99,7 @@
 
 
 class Disturbed:
-    """Tell how long ago the store failed."""
+    """Stub for the time since the store's last fault."""
 
     ago_ms = 1e9
 
@@ -122,9 +122,9 @@
 
 CONFIGURATIONS = [
     ("first", [b"new"], 5),
-    ("an older one after", [b"new", b"old"], 5),
-    ("a newer one after", [b"old", b"new"], 5),
-    ("a bad one after", [b"new", b"bad"], 5),
+    ("an older version later", [b"new", b"old"], 5),
+    ("a newer version later", [b"old", b"new"], 5),
+    ("an unreadable item later", [b"new", b"bad"], 5),
     ("deleted", [b"new", None], 5),
     ("unknown item", [b"new", b"other"], 5),
 ]
@@ -135,12 +135,12 @@
     [row[1:] for row in CONFIGURATIONS],
     ids=[row[0] for row in CONFIGURATIONS],
 )
-def test_the_newest_configuration_stays_in_force(state, values, version):
+def test_newest_configuration_stays_in_force(state, values, version):
     put(state, *values)
     assert state.configuration.version == version
 
 
-def test_an_evacuation_holds_until_it_is_taken_back(state):
+def test_evacuation_lasts_until_its_item_is_deleted(state):
     put(state, b"zone")
     assert state.evacuated == {SERVER.zone}
     put(state, None)
@@ -148,10 +148,11 @@
 
 
 LAPSES = [
-    # milliseconds since the store failed, store away, known after the grace
-    ("a calm store", 1e9, False, False, False),
-    ("a store just back, not back in time", 100.0, False, True, False),
-    ("a store still away", 100.0, True, True, True),
+    # time since the last store fault (ms), store still away, server kept at once, server kept after
+    # the grace
+    ("no recent fault", 1e9, False, False, False),
+    ("store recovered, entry not renewed in time", 100.0, False, True, False),
+    ("store still away", 100.0, True, True, True),
 ]
 
 
@@ -160,7 +161,7 @@
     [row[1:] for row in LAPSES],
     ids=[row[0] for row in LAPSES],
 )
-def test_an_entry_that_lapsed_is_kept_for_its_grace(
+def test_expired_entry_is_kept_for_the_grace_period(
     state, monkeypatch, ago_ms, away, at_once, after
 ):
     clock = [0.0]
@@ -174,7 +175,7 @@
     assert (SERVER.id in state.servers) is after
 
 
-def test_an_entry_that_comes_back_within_its_grace_stays(state, monkeypatch):
+def test_entry_renewed_within_the_grace_period_stays(state, monkeypatch):
     clock = [0.0]
     monkeypatch.setattr(_fleet_state, "now_ms", lambda: clock[0])
     put(state, b"server", key="servers/s1")
@@ -187,7 +188,7 @@
 
 
 class ScriptedStore:
-    """Answer calls of the store from a list."""
+    """Stub store client that returns scripted answers."""
 
     def __init__(self, *answers: object) -> None:
         self.answers = list(answers)
@@ -216,16 +217,16 @@
 
 READS = [
     ("read, then watch", [Ok(StoreAnswer([A1], 1)), Ok(StoreAnswer([B2], 2))], ["read", "watch 1"]),
-    ("a read that fails is made again", [fault(StoreFaultKind.REFUSED), Ok(StoreAnswer([], 1))], ["read", "read"]),
-    ("a watch that fails goes on where it was", [Ok(StoreAnswer([A1], 1)), fault(StoreFaultKind.SILENT), Ok(StoreAnswer([], 1))], ["read", "watch 1", "watch 1"]),
-    ("a forgotten history is read anew", [Ok(StoreAnswer([A1], 1)), fault(StoreFaultKind.HISTORY_GONE), Ok(StoreAnswer([], 7)), Ok(StoreAnswer([], 8))], ["read", "watch 1", "read", "watch 7"]),
+    ("a failed read is retried", [fault(StoreFaultKind.REFUSED), Ok(StoreAnswer([], 1))], ["read", "read"]),
+    ("a failed watch resumes at its revision", [Ok(StoreAnswer([A1], 1)), fault(StoreFaultKind.SILENT), Ok(StoreAnswer([], 1))], ["read", "watch 1", "watch 1"]),
+    ("lost history causes a full read", [Ok(StoreAnswer([A1], 1)), fault(StoreFaultKind.HISTORY_GONE), Ok(StoreAnswer([], 7)), Ok(StoreAnswer([], 8))], ["read", "watch 1", "read", "watch 7"]),
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize(
     ("answers", "calls"), [row[1:] for row in READS], ids=[row[0] for row in READS]
 )
-def test_the_store_is_followed(monkeypatch, answers, calls):
+def test_store_calls_follow_the_results(monkeypatch, answers, calls):
     store = ScriptedStore(*answers)
     monkeypatch.setattr(_store_reader.gevent, "sleep", lambda _s: None)
     reader = StoreReader(store, copy_of({}), lambda _call, _result: None, lambda: 0)
@@ -234,7 +235,7 @@
     assert store.calls[: len(calls)] == calls
 
 
-def test_a_watch_that_stays_behind_peers_is_ended(monkeypatch):
+def test_watch_that_stays_behind_peers_is_interrupted(monkeypatch):
     clock = [10_000.0]
     monkeypatch.setattr(_store_reader, "now_ms", lambda: clock[0])
     store = ScriptedStore()
@@ -249,7 +250,7 @@
     assert not reader.check_behind()
 
 
-def test_watches_that_begin_together_do_not_run_out_together(monkeypatch):
+def test_watches_that_start_together_time_out_at_different_times(monkeypatch):
     monkeypatch.setattr(_store_reader.gevent, "sleep", lambda _s: None)
     waits = []
     for _ in range(50):
@@ -263,7 +264,7 @@
 
 
 GATHERS = [
-    # instances, ms since the last fault, wait after an answer
+    # number of watchers, time since the last fault (ms), delay after a response (ms)
     (9, 1e9, 400.0),
     (80, 1e9, 1_120.0),
     (340, 1e9, 1_500.0),
@@ -272,7 +273,7 @@
 
 
 @pytest.mark.parametrize(("instances", "since_fault_ms", "wait_ms"), GATHERS)
-def test_the_wait_after_an_answer_grows_with_the_fleet(
+def test_delay_after_a_response_grows_with_the_number_of_watchers(
     monkeypatch, instances, since_fault_ms, wait_ms
 ):
     waits: list[float] = []
@@ -290,11 +291,11 @@
 
 STARTS = [
     ("one after the other", [b"start 1", b"start 2"], {"s1@2"}, ["s1@1"]),
-    ("an entry of before its start", [b"start 2", b"start 1"], {"s1@2"}, []),
-    ("an entry of before it told its start", [b"start 2", b"server"], {"s1@2"}, []),
+    ("an entry of an earlier start", [b"start 2", b"start 1"], {"s1@2"}, []),
+    ("an entry without a start time", [b"start 2", b"server"], {"s1@2"}, []),
     ("the same start again", [b"start 1", b"start 1"], {"s1@1"}, []),
-    ("gone and back anew", [b"start 1", None, b"start 2"], {"s1@2"}, []),
-    ("an entry that can't be read", [b"start 1", b"bad"], set(), []),
+    ("deleted and started again", [b"start 1", None, b"start 2"], {"s1@2"}, []),
+    ("an unreadable entry", [b"start 1", b"bad"], set(), []),
     ("readable again", [b"start 1", b"bad", b"start 1"], {"s1@1"}, []),
 ]
 
@@ -302,7 +303,7 @@
 @pytest.mark.parametrize(
     ("values", "held", "over"), [row[1:] for row in STARTS], ids=[row[0] for row in STARTS]
 )
-def test_a_key_names_the_newest_start_of_its_server(values, held, over):
+def test_key_refers_to_the_newest_start_of_its_server(values, held, over):
     restarted: list[str] = []
     one = FleetState(
         lambda change: ITEMS[change.value],
@@ -316,7 +317,7 @@
     assert restarted == over
 
 
-def test_a_start_that_comes_while_an_earlier_one_has_lapsed_replaces_it(state):
+def test_new_start_replaces_an_expired_earlier_start(state):
     put(state, b"start 1", key="servers/s1")
     state._disturbed_ago_ms.ago_ms = 0.0
     state.take(StoreChange("servers/s1", 2, None))
@@ -325,7 +326,7 @@
 
 
 class Step:
-    """Let a number of steps pass, then end the loop."""
+    """Stub for sleep that advances the clock and ends the loop after a number of calls."""
 
     def __init__(self, clock: list[float], count: int) -> None:
         self._clock = clock
@@ -339,16 +340,16 @@
 
 
 FOLLOWING = [
-    ("asks now and then", lambda _now: False, 500, ["read", "watch 1", "watch 1", "watch 1"]),
-    ("watches once it is to", lambda now: now > 1_500.0, 500, ["read", "watch 1"]),
-    ("asks nothing for a while", lambda _now: False, 70, ["read"]),
+    ("rare queries", lambda _now: False, 500, ["read", "watch 1", "watch 1", "watch 1"]),
+    ("becomes a watcher", lambda now: now > 1_500.0, 500, ["read", "watch 1"]),
+    ("no early queries", lambda _now: False, 70, ["read"]),
 ]
 
 
 @pytest.mark.parametrize(
     ("watches", "steps", "calls"), [row[1:] for row in FOLLOWING], ids=[row[0] for row in FOLLOWING]
 )
-def test_one_that_does_not_watch_leaves_the_store_alone(monkeypatch, watches, steps, calls):
+def test_non_watcher_rarely_calls_the_store(monkeypatch, watches, steps, calls):
     clock = [1_000.0]
     monkeypatch.setattr(_store_reader, "now_ms", lambda: clock[0])
     monkeypatch.setattr(_store_reader.gevent, "sleep", Step(clock, steps))
@@ -366,7 +367,7 @@
     assert len(store.calls) <= len(calls) + 1
 
 
-def test_a_fault_that_a_peer_met_keeps_what_lapsed(state, monkeypatch):
+def test_fault_seen_by_a_peer_keeps_expired_entries(state, monkeypatch):
     clock = [100_000.0]
     for module in (_fleet_state, _store_reader):
         monkeypatch.setattr(module, "now_ms", lambda: clock[0])
--- a/sparline/fleet/tests/test_store_watchers.py
+++ b/sparline/fleet/tests/test_store_watchers.py
@@ -7,7 +7,7 @@
 
 
 class Zone:
-    """Hold what each instance of a zone knows of the others."""
+    """Simulate the membership tables of all instances of a zone."""
 
     def __init__(self, clock) -> None:
         self._clock = clock
@@ -48,11 +48,11 @@
     return Zone(clock)
 
 
-def test_some_of_a_zone_watch_the_store_and_all_agree_on_them(zone):
+def test_all_instances_of_a_zone_agree_on_its_watchers(zone):
     assert len(zone.watching()) == WATCHERS_A_ZONE
 
 
-def test_those_of_another_zone_stand_for_themselves(zone):
+def test_instances_of_another_zone_do_not_affect_the_watchers(zone):
     for members in zone.members.values():
         for number in range(SIZE):
             other = note(f"10.1.0.{number}", zone="north-2")
@@ -60,7 +60,7 @@
     assert len(zone.watching()) == WATCHERS_A_ZONE
 
 
-def test_a_lost_one_is_replaced_before_it_counts_as_silent(zone, clock):
+def test_lost_watchers_are_replaced_before_they_count_as_silent(zone, clock):
     lost = zone.watching()
     others = [ip for ip in zone.ips if ip not in lost]
     clock.now += _store_watchers.WATCHER_SILENT_MS + 1
@@ -69,16 +69,16 @@
     assert len(watching) == WATCHERS_A_ZONE
 
 
-def test_all_others_take_the_place_of_one_that_the_store_turns_away(zone):
+def test_all_instances_watch_when_the_store_rejects_a_watcher(zone):
     watching = zone.watching()
     turned_away = min(watching)
-    # Those that do not watch have nothing of their own to say of the store.
+    # Non-watchers report the store as unreached.
     zone.hear(zone.ips, {ip: ip in watching and ip != turned_away for ip in zone.ips})
     assert zone.watching() == set(zone.ips)
-    # Once they hear of each other, enough of them go on.
+    # Once their own reports reach each other, the usual number keep watching.
     zone.hear(zone.ips, {ip: ip != turned_away for ip in zone.ips})
     assert len(zone.watching() - {turned_away}) == WATCHERS_A_ZONE
 
 
-def test_one_that_knows_nobody_watches():
+def test_instance_without_known_members_watches():
     assert watches_store(Members(note("10.0.0.1")))
