--- a/sparline/fleet/_crash_exchange.py
+++ b/sparline/fleet/_crash_exchange.py
@@ -5,24 +5,24 @@
 make up for lost datagrams. A newly started instance receives all known reports on suspects.
 """
 
-from sparline.fleet._news_allowance import NewsAllowance
+from sparline.fleet._news_allowance import BroadcastAllowance
 from sparline.quarantine import CrashChange, CrashTable, Learnt, fact_of, note_of
 from sparline.schema._gossip import CrashNews, CrashNote
 
 # Maximum number of requests reported in a datagram, about 35 bytes each, so that it stays below
 # 1,400 bytes. With 40 concurrent suspects and a fifth of the datagrams lost, all 78 instances know
 # of each suspect within 5 s; with a maximum of 6 they do not.
-MOST_TOLD = 12
+MAX_REPORTS = 12
 # Maximum number of requests reported in a datagram to a newly started instance. With this many
 # suspects, a datagram that also describes sixteen members may exceed one packet.
-MOST_TOLD_TO_NEW = 12
+MAX_REPORTS_TO_NEW = 12
 # How long a request's first crash is reported to siblings (ms): long enough to reach the last of 70
 # even if one or two datagrams are lost. Other regions take turns to get a datagram, so they need
 # longer.
-SINGLE_NEAR_MS = 1_500.0
-SINGLE_FAR_MS = 12_000.0
+FIRST_CRASH_SIBLINGS_MS = 1_500.0
+FIRST_CRASH_OTHER_REGIONS_MS = 12_000.0
 # How long each round repeats a report on a suspect after it was received (ms).
-SUSPECT_MS = 12_000.0
+SUSPECT_REPORT_MS = 12_000.0
 ALWAYS_MS = float("inf")
 
 
@@ -32,17 +32,19 @@
     def __init__(self, table: CrashTable) -> None:
         """Create an exchange for the records of a crash table."""
         self._table = table
-        self._allowance = NewsAllowance()
+        self._allowance = BroadcastAllowance()
 
-    def notes_for(self, is_near: bool, is_new: bool) -> list[CrashNote]:
+    def notes_for(self, is_same_region: bool, is_new: bool) -> list[CrashNote]:
         """Return the crash reports for a gossip datagram; `is_new` if the peer has just started."""
         if self._table.is_empty:
             return []
         if is_new:
-            facts = self._table.facts(MOST_TOLD_TO_NEW, SINGLE_NEAR_MS, ALWAYS_MS)
+            facts = self._table.facts(MAX_REPORTS_TO_NEW, FIRST_CRASH_SIBLINGS_MS, ALWAYS_MS)
         else:
-            singles_ms = SINGLE_NEAR_MS if is_near else SINGLE_FAR_MS
-            facts = self._table.facts(MOST_TOLD, singles_ms, SUSPECT_MS)
+            first_crash_ms = (
+                FIRST_CRASH_SIBLINGS_MS if is_same_region else FIRST_CRASH_OTHER_REGIONS_MS
+            )
+            facts = self._table.facts(MAX_REPORTS, first_crash_ms, SUSPECT_REPORT_MS)
         return [note_of(fact) for fact in facts]
 
     def take(self, notes: list[CrashNote]) -> list[CrashNote]:
--- a/sparline/fleet/_fleet_state.py
+++ b/sparline/fleet/_fleet_state.py
@@ -23,16 +23,16 @@
 LAPSE_GRACE_MS = 2_200.0
 # A deletion this soon after a store fault may be an expiry caused by the outage (ms): three server
 # heartbeats plus the grace period.
-DISTURBED_MS = 6_000.0
+RECENT_FAULT_MS = 6_000.0
 # How long a removed server is remembered (ms): if its entry reappears by then, it is not cold.
-KNOWN_FOR_MS = 120_000.0
+KNOWN_SERVER_RETENTION_MS = 120_000.0
 # Maximum number of remembered keys of unreadable items; further ones are logged at each change.
-MOST_BAD_KEYS = 1_000
+MAX_BAD_KEYS = 1_000
 # Maximum number of servers remembered as reporting that they are leaving; the oldest is evicted
 # first. Far more than are replaced in a day.
-MOST_LEAVING = 4_096
+MAX_REPORTED_LEAVING = 4_096
 # Maximum number of remembered withdrawn API keys, about 0.1 kB each.
-MOST_WITHDRAWN = 4_096
+MAX_WITHDRAWN_KEYS = 4_096
 
 ReadItem = Callable[[StoreChange], StoreItem]
 
@@ -70,7 +70,7 @@
         self._on_gone = on_gone
         self._bad_keys: set[str] = set()
         self._lapsed: dict[BackendServerId, float] = {}
-        self._known: dict[BackendServerId, float] = {}
+        self._known_at_ms: dict[BackendServerId, float] = {}
         self._reported_leaving: OrderedDict[BackendServerId, None] = OrderedDict()
         self._evacuations: dict[str, ZoneName] = {}
         self._server_keys: dict[str, BackendServerId] = {}
@@ -79,35 +79,35 @@
     def take(self, change: StoreChange) -> None:
         """Apply one change of a store item."""
         if change.value is None:
-            self._take_deleted(change)
+            self._apply_deletion(change)
             return
         match self._read_item(change):
             case ConfigurationItem(configuration):
-                self._take_configuration(configuration, change.revision)
+                self._apply_configuration(configuration, change.revision)
             case BackendServerItem(server):
                 self._bad_keys.discard(change.key)
-                self._take_entry(change.key, server, change.revision)
+                self._apply_server_entry(change.key, server, change.revision)
             case EvacuationItem(zone):
                 self._evacuations[change.key] = zone
-                self._note_evacuated(change.revision)
+                self._update_evacuated(change.revision)
             case BadItem(text):
-                self._take_bad(change, text)
+                self._apply_bad_item(change, text)
 
-    def _take_deleted(self, change: StoreChange) -> None:
+    def _apply_deletion(self, change: StoreChange) -> None:
         if change.key in self._evacuations:
             del self._evacuations[change.key]
-            self._note_evacuated(change.revision)
+            self._update_evacuated(change.revision)
         server_id = self._server_keys.get(change.key)
         if server_id is None:
             return
-        disturbed = self._disturbed_ago_ms() < DISTURBED_MS
-        if disturbed and not self.servers[server_id].leaving:
+        is_fault_recent = self._disturbed_ago_ms() < RECENT_FAULT_MS
+        if is_fault_recent and not self.servers[server_id].leaving:
             self._lapsed[server_id] = now_ms() + LAPSE_GRACE_MS
             log.bind(backend_server=server_id, revision=change.revision).info("server_lapsed")
             return
         self._remove(server_id, "entry_gone")
 
-    def _take_bad(self, change: StoreChange, text: str) -> None:
+    def _apply_bad_item(self, change: StoreChange, text: str) -> None:
         """Drop the server of an unreadable item; log the key once until it is readable again."""
         self._on_bad_item()
         server_id = self._server_keys.get(change.key)
@@ -115,11 +115,11 @@
             self._remove(server_id, "entry_unreadable")
         if change.key in self._bad_keys:
             return
-        if len(self._bad_keys) < MOST_BAD_KEYS:
+        if len(self._bad_keys) < MAX_BAD_KEYS:
             self._bad_keys.add(change.key)
         log.bind(key=change.key, revision=change.revision, text=text).warning("bad_item")
 
-    def _take_entry(self, key: str, server: BackendServer, revision: int) -> None:
+    def _apply_server_entry(self, key: str, server: BackendServer, revision: int) -> None:
         """Apply a server's entry, which replaces an earlier start under the same key."""
         held_id = self._server_keys.get(key)
         held = self.servers.get(held_id) if held_id is not None else None
@@ -132,20 +132,20 @@
             self._remove(held.id, "started_again")
             self._on_restart(held)
         self._server_keys[key] = server.id
-        self._take_server(server, revision)
+        self._update_server(server, revision)
 
-    def _take_configuration(self, configuration: Configuration, revision: int) -> None:
+    def _apply_configuration(self, configuration: Configuration, revision: int) -> None:
         held = self.configuration
         if held is not None and held.version >= configuration.version:
             return
         if held is not None:
-            self._note_withdrawn(held, configuration)
+            self._record_withdrawn_keys(held, configuration)
         self.configuration = configuration
         log.bind(
             version=configuration.version, revision=revision, routes=len(configuration.routes)
         ).info("configuration_in_force")
 
-    def _note_withdrawn(self, held: Configuration, newer: Configuration) -> None:
+    def _record_withdrawn_keys(self, held: Configuration, newer: Configuration) -> None:
         """Record the version that withdrew each API key, for error messages to callers."""
         before = held.organisations.by_key if held.organisations else {}
         after = newer.organisations.by_key if newer.organisations else {}
@@ -153,21 +153,21 @@
             self._withdrawn[key] = newer.version
         for key in after.keys() & self._withdrawn.keys():
             del self._withdrawn[key]
-        while len(self._withdrawn) > MOST_WITHDRAWN:
+        while len(self._withdrawn) > MAX_WITHDRAWN_KEYS:
             self._withdrawn.popitem(last=False)
 
     def withdrawn_at(self, key: KeyDigest) -> ConfigurationVersion | None:
         """Return the configuration version that withdrew an API key, or None if unknown."""
         return self._withdrawn.get(key)
 
-    def _take_server(self, server: BackendServer, revision: int) -> None:
+    def _update_server(self, server: BackendServer, revision: int) -> None:
         self._lapsed.pop(server.id, None)
         held = self.servers.get(server.id)
         if held is None:
-            server = self._as_new(server)
+            server = self._mark_cold_if_new(server)
         if server.id in self._reported_leaving:
             server = replace(server, leaving=True)
-        self._known[server.id] = now_ms()
+        self._known_at_ms[server.id] = now_ms()
         self._put_server(server)
         if held is None and not self.started:
             # The initial read covers thousands of servers; their number is logged once live.
@@ -186,7 +186,7 @@
         if server_id in self._reported_leaving:
             return
         self._reported_leaving[server_id] = None
-        if len(self._reported_leaving) > MOST_LEAVING:
+        if len(self._reported_leaving) > MAX_REPORTED_LEAVING:
             self._reported_leaving.popitem(last=False)
         server = self.servers.get(server_id)
         if server is not None:
@@ -199,16 +199,16 @@
         self.servers[server.id] = server
         self._is_indexed = False
 
-    def _as_new(self, server: BackendServer) -> BackendServer:
+    def _mark_cold_if_new(self, server: BackendServer) -> BackendServer:
         """Mark a server that appears after the initial read as cold for its warm-up time."""
-        known_at_ms = self._known.get(server.id)
+        known_at_ms = self._known_at_ms.get(server.id)
         if not self.started or known_at_ms is not None or self.configuration is None:
             return server
         service = self.configuration.services.get(server.service)
         cold_ms = service.cold_start_ms if service else 0.0
         return replace(server, cold_until_ms=max(server.cold_until_ms, now_ms() + cold_ms))
 
-    def _note_evacuated(self, revision: int) -> None:
+    def _update_evacuated(self, revision: int) -> None:
         self.evacuated = set(self._evacuations.values())
         log.bind(zones=sorted(self.evacuated), revision=revision).info("evacuated_zones")
 
@@ -253,5 +253,7 @@
             else:
                 self._remove(server_id, "not_back_after_lapse")
         for server_id in self.servers:
-            self._known[server_id] = now
-        self._known = {one: at for one, at in self._known.items() if now - at < KNOWN_FOR_MS}
+            self._known_at_ms[server_id] = now
+        self._known_at_ms = {
+            one: at for one, at in self._known_at_ms.items() if now - at < KNOWN_SERVER_RETENTION_MS
+        }
--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -18,7 +18,7 @@
 from sparline.fleet._crash_exchange import CrashExchange
 from sparline.fleet._load_exchange import LoadExchange, Outgoing
 from sparline.fleet._members import Member, Members
-from sparline.fleet._quota_exchange import QuotaExchange, QuotaOutgoing
+from sparline.fleet._quota_exchange import QuotaDatagram, QuotaExchange
 from sparline.quarantine import CrashChange
 from sparline.schema._gossip import (
     CrashNews,
@@ -40,37 +40,37 @@
 ROUND_MS = 250.0
 # Number of siblings that get a datagram in each round; if there are more, they take turns, so that
 # an instance sends the same number of datagrams in a fleet of any size.
-SIBLINGS_A_ROUND = 4
+SIBLINGS_PER_ROUND = 4
 # Number of these in other availability zones of the region: traffic between zones is billed, and
 # one datagram in four is enough to spread news to the other zones.
-OTHER_ZONES_A_ROUND = 1
+OTHER_ZONE_SIBLINGS_PER_ROUND = 1
 # Number of instances per region that gossip with other regions: traffic between regions is billed.
 # Two, so that the exchange continues when one of them stops.
-TELLERS = 2
+REPRESENTATIVES_PER_REGION = 2
 # Number of rounds between probes of a seed or a silent member, which reconnect the fleet after a
 # network partition.
-PROBE_ROUNDS = 4
+PROBE_INTERVAL_ROUNDS = 4
 # A member without a heartbeat for this long is contacted only by these probes (ms).
-TRIED_SELDOM_MS = 6_000.0
+PROBE_ONLY_AFTER_MS = 6_000.0
 # Number of initial rounds in which an instance queries all seeds: after a power failure the seeds
 # start at the same time, and the first datagrams arrive before they listen.
-FIRST_ROUNDS = 20
+SEED_QUERY_ROUNDS = 20
 # Maximum number of other instances' heartbeats relayed in a datagram: in a fleet of two hundred,
 # each heartbeat is then received every few seconds.
-MOST_BEATS = 14
+MAX_RELAYED_HEARTBEATS = 14
 # Maximum number of heartbeats of the own region relayed in a datagram to another region.
-MOST_FAR_BEATS = 12
+MAX_CROSS_REGION_HEARTBEATS = 12
 # Maximum number of members described in a reply to a member query: what fits into 1,400 bytes.
-MOST_MEMBERS = 16
+MAX_DESCRIBED_MEMBERS = 16
 # Delay before the description of an unknown instance is requested again (ms): one round.
-ASK_AGAIN_MS = 250.0
+DESCRIPTION_RETRY_MS = 250.0
 # Maximum number of peers in an immediate broadcast: larger than any supported region.
-MOST_TOLD_AT_ONCE = 64
+MAX_BROADCAST_PEERS = 64
 # Receive buffer size: the largest datagram that can be read (bytes).
-READ_BYTES = 65_536
+RECEIVE_BUFFER_BYTES = 65_536
 
 
-Note = TypeVar("Note")
+Item = TypeVar("Item")
 # Messages that instances send each other in datagrams.
 Datagram = (
     Gossip | LoadShares | LoadNews | LoadWord | CrashNews | QuotaReport | QuotaWord | QuotaTotals
@@ -113,7 +113,7 @@
         self._round = 0
         self._chance = random.Random()
         self._greeted: dict[str, int] = {}  # incarnations of siblings already greeted, by address
-        self._asked_at_ms: dict[int, float] = {}  # time of the last request for a note, by key
+        self._requested_at_ms: dict[int, float] = {}  # time of the last request for a note, by key
         self._closed = False
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind((members.own.ip, port))
@@ -122,7 +122,7 @@
         """Receive and handle datagrams until the port is closed."""
         while not self._closed:
             try:
-                data, sender = self._socket.recvfrom(READ_BYTES)
+                data, sender = self._socket.recvfrom(RECEIVE_BUFFER_BYTES)
             except OSError as error:
                 # An earlier datagram went to a closed port (ICMP error); this socket still works.
                 log.debug("gossip: receive failed: {}", error)
@@ -137,7 +137,7 @@
         """Handle a received datagram."""
         match message:
             case CrashNews():
-                self._take_crashes(message)
+                self._handle_crash_news(message)
             case LoadNews():
                 self._loads.take_news(message)
             case LoadShares():
@@ -147,42 +147,42 @@
             case QuotaReport() | QuotaWord() | QuotaTotals():
                 self.tell(self._quotas.take(message))
             case Gossip():
-                self._take(message)
+                self._handle_gossip(message)
 
-    def _take(self, gossip: Gossip) -> None:
+    def _handle_gossip(self, gossip: Gossip) -> None:
         is_new = self._members.take(gossip)
         self._sources.take_reads(gossip.reads)
         self._loads.take_readings(gossip.loads)
         self._sources.take_server_limits(gossip.server_limits)
         self._crashes.take(gossip.crashes)
-        self._answer(gossip, is_new)
+        self._reply(gossip, is_new)
 
-    def _take_crashes(self, told: CrashNews) -> None:
+    def _handle_crash_news(self, told: CrashNews) -> None:
         news = self._crashes.take(told.crashes)
         if news and told.pass_on:
-            self._tell_siblings(CrashNews(news, pass_on=False))
+            self._broadcast_to_siblings(CrashNews(news, pass_on=False))
 
-    def _answer(self, gossip: Gossip, is_new: bool) -> None:
+    def _reply(self, gossip: Gossip, is_new: bool) -> None:
         if is_new:
             log.bind(peer=gossip.sender.name, phase=gossip.sender.phase.value).info("member_heard")
         near = gossip.sender.region == self._members.own.region
         if gossip.wants_members:
-            sample = self._sample(gossip.sender.region)
-            self._send([gossip.sender.ip], self._message(near, sample, is_new=True))
+            sample = self._sample_members(gossip.sender.region)
+            self._send([gossip.sender.ip], self._gossip_message(near, sample, is_new=True))
         elif is_new and near:
             # Instances of other regions learn of this one from the region's representatives.
             self._greet([gossip.sender.ip])
         elif gossip.wanted:
-            described = self._members.described(gossip.wanted[:MOST_MEMBERS])
-            self._send([gossip.sender.ip], self._message(near, described))
+            described = self._members.described(gossip.wanted[:MAX_DESCRIBED_MEMBERS])
+            self._send([gossip.sender.ip], self._gossip_message(near, described))
         if self._members.new_siblings:
             # With the round-robin rounds alone, some siblings would not know a new instance for a
             # second or two, and would divide shared limits without it.
             self._greet(self._members.new_siblings)
-        wanted = self._not_asked_for(self._members.strangers)
+        wanted = self._not_yet_requested(self._members.strangers)
         if wanted:
             # The sender relayed their heartbeats, so it can describe them.
-            self._send([gossip.sender.ip], self._message(near, wanted=wanted))
+            self._send([gossip.sender.ip], self._gossip_message(near, wanted=wanted))
 
     def _greet(self, siblings: list[str]) -> None:
         """Send this instance's state to new siblings, once per incarnation."""
@@ -190,16 +190,18 @@
         new = [ip for ip in siblings if self._greeted.get(ip) != starts.get(ip)]
         self._greeted.update({ip: starts[ip] for ip in new if ip in starts})
         if new:
-            self._send(new, self._message(True, is_new=True))
+            self._send(new, self._gossip_message(True, is_new=True))
 
-    def _not_asked_for(self, keys: list[int]) -> list[int]:
+    def _not_yet_requested(self, keys: list[int]) -> list[int]:
         """Return the unknown instances whose description has not been requested recently."""
         now = now_ms()
-        self._asked_at_ms = {
-            key: at_ms for key, at_ms in self._asked_at_ms.items() if now - at_ms < ASK_AGAIN_MS
+        self._requested_at_ms = {
+            key: at_ms
+            for key, at_ms in self._requested_at_ms.items()
+            if now - at_ms < DESCRIPTION_RETRY_MS
         }
-        wanted = [key for key in keys if key not in self._asked_at_ms][:MOST_MEMBERS]
-        self._asked_at_ms.update(dict.fromkeys(wanted, now))
+        wanted = [key for key in keys if key not in self._requested_at_ms][:MAX_DESCRIBED_MEMBERS]
+        self._requested_at_ms.update(dict.fromkeys(wanted, now))
         return wanted
 
     def run(self) -> None:
@@ -216,22 +218,22 @@
         near, far, silent = self._peers()
         for one in (*self._loads.round(), *self._quotas.round()):
             self._send(one.peers, one.message)
-        near_turn = self._near_turn(near)
-        if near_turn:
-            self._send(near_turn, self._message(True))
-        is_teller = self._is_teller()
-        if is_teller:
-            self._tell_far()
-        self._probe(_ips(near + far), silent, is_teller)
-
-    def _is_teller(self) -> bool:
+        round_siblings = self._siblings_for_round(near)
+        if round_siblings:
+            self._send(round_siblings, self._gossip_message(True))
+        is_representative = self._is_representative()
+        if is_representative:
+            self._send_to_other_region()
+        self._probe(_ips(near + far), silent, is_representative)
+
+    def _is_representative(self) -> bool:
         """Return whether this instance is one of its region's representatives to other regions."""
         own = self._members.own
         siblings = [one.note.ip for one in self._members.live(RegionName(own.region))]
         order = sorted([*siblings, own.ip], key=lambda ip: hash64(f"teller/{ip}"), reverse=True)
-        return own.ip in order[:TELLERS]
+        return own.ip in order[:REPRESENTATIVES_PER_REGION]
 
-    def _far_by_region(self) -> list[list[str]]:
+    def _ips_by_other_region(self) -> list[list[str]]:
         """Return the addresses in each other region, with the regions sorted by name.
 
         Starting instances are included: if regions that start together sent to live instances only,
@@ -243,12 +245,12 @@
                 by_region.setdefault(one.note.region, []).append(one.note.ip)
         return [by_region[region] for region in sorted(by_region)]
 
-    def _tell_far(self) -> None:
+    def _send_to_other_region(self) -> None:
         """Send gossip to a random instance of one other region, with the regions in rotation."""
-        regions = self._far_by_region()
+        regions = self._ips_by_other_region()
         if regions:
             ips = regions[self._round % len(regions)]
-            self._send([self._chance.choice(ips)], self._message(False))
+            self._send([self._chance.choice(ips)], self._gossip_message(False))
 
     def announce(self, phase: MemberPhase) -> None:
         """Set this instance's phase; notify all siblings and one instance of each other region."""
@@ -256,14 +258,16 @@
         self._members.own = msgspec.structs.replace(own, phase=phase, counter=own.counter + 1)
         self._members.own_phase_at_ms = now_ms()
         near, _, _ = self._peers()
-        self._send(self._some(_ips(near), MOST_TOLD_AT_ONCE), self._message(True))
-        far = [self._chance.choice(ips) for ips in self._far_by_region()]
-        self._send(far, self._message(False))
+        self._send(
+            self._limit_randomly(_ips(near), MAX_BROADCAST_PEERS), self._gossip_message(True)
+        )
+        far = [self._chance.choice(ips) for ips in self._ips_by_other_region()]
+        self._send(far, self._gossip_message(False))
 
-    def tell(self, outgoing: Iterable[Outgoing | QuotaOutgoing]) -> None:
+    def tell(self, outgoing: Iterable[Outgoing | QuotaDatagram]) -> None:
         """Send load or quota datagrams immediately."""
         for one in outgoing:
-            self._send(self._some(one.peers, MOST_TOLD_AT_ONCE), one.message)
+            self._send(self._limit_randomly(one.peers, MAX_BROADCAST_PEERS), one.message)
 
     def tell_crash(self, change: CrashChange) -> None:
         """Broadcast an urgent crash report to siblings and some instances of each other region."""
@@ -271,14 +275,14 @@
         news = self._crashes.news_of(change, sharing)
         if news is None:
             return
-        self._tell_siblings(news)
-        for ips in self._far_by_region():
-            self._send(self._some(ips, TELLERS), news)
+        self._broadcast_to_siblings(news)
+        for ips in self._ips_by_other_region():
+            self._send(self._limit_randomly(ips, REPRESENTATIVES_PER_REGION), news)
 
-    def _tell_siblings(self, news: CrashNews) -> None:
+    def _broadcast_to_siblings(self, news: CrashNews) -> None:
         near, _, _ = self._peers()
         told = CrashNews(news.crashes, pass_on=False)
-        self._send(self._some(_ips(near), MOST_TOLD_AT_ONCE), told)
+        self._send(self._limit_randomly(_ips(near), MAX_BROADCAST_PEERS), told)
 
     def close(self) -> None:
         """Close the port, which ends `read`."""
@@ -299,19 +303,23 @@
                 far.append(member)
         return near, far, silent
 
-    def _near_turn(self, near: list[Member]) -> list[str]:
+    def _siblings_for_round(self, near: list[Member]) -> list[str]:
         """Return the siblings that get a datagram in this round, mostly in the own zone."""
-        if len(near) <= SIBLINGS_A_ROUND:
+        if len(near) <= SIBLINGS_PER_ROUND:
             return _ips(near)
         zone = self._members.own.availability_zone
-        here = _ips(one for one in near if one.note.availability_zone == zone)
-        elsewhere = _ips(one for one in near if one.note.availability_zone != zone)
-        across = max(OTHER_ZONES_A_ROUND, SIBLINGS_A_ROUND - len(here)) if elsewhere else 0
-        return self._take_turns(here, SIBLINGS_A_ROUND - across) + self._take_turns(
-            elsewhere, across
+        same_zone = _ips(one for one in near if one.note.availability_zone == zone)
+        other_zones = _ips(one for one in near if one.note.availability_zone != zone)
+        other_zone_count = (
+            max(OTHER_ZONE_SIBLINGS_PER_ROUND, SIBLINGS_PER_ROUND - len(same_zone))
+            if other_zones
+            else 0
+        )
+        return self._rotate(same_zone, SIBLINGS_PER_ROUND - other_zone_count) + self._rotate(
+            other_zones, other_zone_count
         )
 
-    def _take_turns(self, peers: list[str], most: int) -> list[str]:
+    def _rotate(self, peers: list[str], most: int) -> list[str]:
         if len(peers) <= most:
             return peers
         # Each instance starts at a different offset, so that a peer is not contacted by all at
@@ -319,31 +327,32 @@
         start = (self._round * most + hash(self._members.own.ip)) % len(peers)
         return [peers[(start + step) % len(peers)] for step in range(most)]
 
-    def _probe(self, known: list[str], silent: list[Member], is_teller: bool) -> None:
+    def _probe(self, known: list[str], silent: list[Member], is_representative: bool) -> None:
         """Query members: in the first rounds from all seeds, later from one missing peer."""
         own = self._members.own
-        strangers = [ip for ip in self.seeds if ip != own.ip and ip not in known]
-        if self._round <= FIRST_ROUNDS:
-            self._send(strangers, self._message(False, wants_members=True))
-        elif self._round % PROBE_ROUNDS == 1:
-            missing = self._missing(silent, is_teller)
+        unknown_seeds = [ip for ip in self.seeds if ip != own.ip and ip not in known]
+        if self._round <= SEED_QUERY_ROUNDS:
+            self._send(unknown_seeds, self._gossip_message(False, wants_members=True))
+        elif self._round % PROBE_INTERVAL_ROUNDS == 1:
+            missing_peers = self._missing_peers(silent, is_representative)
             silent_ips = {one.note.ip for one in silent}
-            missing += [ip for ip in strangers if ip not in silent_ips]
-            if missing:
-                chosen = [self._chance.choice(missing)] if known else strangers
-                self._send(chosen, self._message(False, wants_members=True))
+            missing_peers += [ip for ip in unknown_seeds if ip not in silent_ips]
+            if missing_peers:
+                chosen = [self._chance.choice(missing_peers)] if known else unknown_seeds
+                self._send(chosen, self._gossip_message(False, wants_members=True))
 
-    def _missing(self, silent: list[Member], is_teller: bool) -> list[str]:
+    def _missing_peers(self, silent: list[Member], is_representative: bool) -> list[str]:
         """Return silent siblings and, for a representative, members of unreachable regions."""
         own_region = self._members.own.region
         reached = {one.note.region for one in self._members.live()}
         return [
             one.note.ip
             for one in silent
-            if one.note.region == own_region or (is_teller and one.note.region not in reached)
+            if one.note.region == own_region
+            or (is_representative and one.note.region not in reached)
         ]
 
-    def _message(
+    def _gossip_message(
         self,
         near: bool,
         members: list[MemberNote] | None = None,
@@ -358,7 +367,7 @@
             store_reached=self._sources.store_reached(),
             loads=self._loads.readings_for(near),
             reads=self._sources.recent_reads(),
-            beats=self._beats(near),
+            beats=self._heartbeats(near),
             members=members or [],
             wants_members=wants_members,
             wanted=wanted or [],
@@ -366,20 +375,22 @@
             server_limits=self._sources.server_limits(),
         )
 
-    def _beats(self, near: bool) -> list[MemberBeat]:
+    def _heartbeats(self, near: bool) -> list[MemberBeat]:
         if near:
-            return self._some(self._members.heard_lately(), MOST_BEATS)
-        here = self._members.heard_lately(RegionName(self._members.own.region))
-        return self._some(here, MOST_FAR_BEATS)
+            return self._limit_randomly(self._members.heard_lately(), MAX_RELAYED_HEARTBEATS)
+        own_region = self._members.heard_lately(RegionName(self._members.own.region))
+        return self._limit_randomly(own_region, MAX_CROSS_REGION_HEARTBEATS)
 
-    def _sample(self, region: str) -> list[MemberNote]:
+    def _sample_members(self, region: str) -> list[MemberNote]:
         """Return a sample of the members that are not silent, preferring those of a region."""
         known = [one.note for one in self._members.others() if not _is_silent(one)]
-        there = self._some([one for one in known if one.region == region], MOST_MEMBERS)
-        elsewhere = [one for one in known if one.region != region]
-        return there + self._some(elsewhere, MOST_MEMBERS - len(there))
+        in_region = self._limit_randomly(
+            [one for one in known if one.region == region], MAX_DESCRIBED_MEMBERS
+        )
+        remaining = [one for one in known if one.region != region]
+        return in_region + self._limit_randomly(remaining, MAX_DESCRIBED_MEMBERS - len(in_region))
 
-    def _some(self, all_of_them: list[Note], most: int) -> list[Note]:
+    def _limit_randomly(self, all_of_them: list[Item], most: int) -> list[Item]:
         if len(all_of_them) <= most:
             return all_of_them
         return self._chance.sample(all_of_them, most)
@@ -399,7 +410,7 @@
 
 def _is_silent(member: Member) -> bool:
     """Return whether a member is contacted only by periodic probes."""
-    return now_ms() - member.heard_at_ms > TRIED_SELDOM_MS
+    return now_ms() - member.heard_at_ms > PROBE_ONLY_AFTER_MS
 
 
 def make_note(ip: str, name: str, region: RegionName, zone: str, started_ms: int) -> MemberNote:
--- a/sparline/fleet/_load_board.py
+++ b/sparline/fleet/_load_board.py
@@ -8,7 +8,7 @@
 from sparline.fleet._loads import LoadOf, sum_loads
 
 # Maximum age of a reading or change that is still used (ms).
-LOAD_MS = 4_000.0
+LOAD_MAX_AGE_MS = 4_000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,27 +33,27 @@
     """Hold a server's changes, oldest first, and their sum, which every placement reads."""
 
     def __init__(self) -> None:
-        self._each: deque[_Change] = deque()
+        self._entries: deque[_Change] = deque()
         self.sum = LoadOf()
 
     def __bool__(self) -> bool:
-        return bool(self._each)
+        return bool(self._entries)
 
     def add(self, change: _Change) -> None:
-        self._each.append(change)
+        self._entries.append(change)
         self.sum = sum_loads((self.sum, change.load))
 
     def drop_until(self, at_ms: float) -> None:
         """Drop the changes up to and including a time."""
-        gone = []
-        while self._each and self._each[0].at_ms <= at_ms:
-            gone.append(self._each.popleft().load)
-        if gone:
-            left = sum_loads(gone)
+        dropped = []
+        while self._entries and self._entries[0].at_ms <= at_ms:
+            dropped.append(self._entries.popleft().load)
+        if dropped:
+            removed = sum_loads(dropped)
             self.sum = LoadOf(
-                self.sum.running - left.running,
-                self.sum.held_tokens - left.held_tokens,
-                self.sum.unread_tokens - left.unread_tokens,
+                self.sum.running - removed.running,
+                self.sum.held_tokens - removed.held_tokens,
+                self.sum.unread_tokens - removed.unread_tokens,
             )
 
 
@@ -86,7 +86,7 @@
         if changes is None:
             return
         held = self._readings.get(server_id)
-        since = max(now - LOAD_MS, held.covers_until_ms if held is not None else 0.0)
+        since = max(now - LOAD_MAX_AGE_MS, held.covers_until_ms if held is not None else 0.0)
         changes.drop_until(since)
         if not changes:
             del self._changes[server_id]
@@ -94,7 +94,7 @@
     def reading(self, server_id: BackendServerId) -> LoadReading | None:
         """Return the newest reading of a server, or None if there is none or it has expired."""
         held = self._readings.get(server_id)
-        return held if held is not None and held.at_ms >= now_ms() - LOAD_MS else None
+        return held if held is not None and held.at_ms >= now_ms() - LOAD_MAX_AGE_MS else None
 
     def load(self, server_id: BackendServerId) -> LoadOf | None:
         """Return the estimated load of a server, or None if nothing is known."""
@@ -103,8 +103,8 @@
         if reading is None and changes is None:
             return None
         # Before the first reading, only the recorded changes are known.
-        told = LoadOf() if reading is None else reading.load
-        total = told if changes is None else sum_loads((told, changes.sum))
+        base = LoadOf() if reading is None else reading.load
+        total = base if changes is None else sum_loads((base, changes.sum))
         return LoadOf(max(total.running, 0), max(total.held_tokens, 0), max(total.unread_tokens, 0))
 
     def age_ms(self, server_id: BackendServerId) -> float | None:
@@ -126,7 +126,7 @@
 
     def forget_old(self) -> None:
         """Drop expired readings and changes."""
-        since = now_ms() - LOAD_MS
+        since = now_ms() - LOAD_MAX_AGE_MS
         self._readings = {one: held for one, held in self._readings.items() if held.at_ms >= since}
         for server_id in list(self._changes):
             self._trim(server_id, now_ms())
--- a/sparline/fleet/_load_exchange.py
+++ b/sparline/fleet/_load_exchange.py
@@ -13,11 +13,11 @@
 
 from sparline._clock import now_ms
 from sparline._ids import BackendServerId, RegionName
-from sparline.fleet._load_board import LOAD_MS, LoadBoard, LoadReading
+from sparline.fleet._load_board import LOAD_MAX_AGE_MS, LoadBoard, LoadReading
 from sparline.fleet._load_shares import Aggregators, ShareTable
 from sparline.fleet._loads import LoadOf, read_load, sum_loads, write_load
 from sparline.fleet._members import Member, Members
-from sparline.fleet._news_allowance import NewsAllowance
+from sparline.fleet._news_allowance import BroadcastAllowance
 from sparline.schema._gossip import (
     LoadNews,
     LoadReadingNote,
@@ -28,39 +28,39 @@
 
 # A change of at least this many unread tokens is reported to the aggregators immediately, as is any
 # change in running requests: at 50 tokens per millisecond, 200 tokens take 4 ms of prefill.
-SHARE_TOKENS = 200
+IMMEDIATE_SHARE_TOKENS = 200
 # A prefill of at least this many tokens is broadcast to all siblings immediately: at 50 tokens per
 # millisecond, 1,500 tokens take 30 ms, a tenth of what noticeably delays other streams.
-NEWS_TOKENS = 1_500
+ALWAYS_BROADCAST_TOKENS = 1_500
 # Prefills of at least this many tokens (8 ms) are also broadcast, subject to a rate limit, so that
 # siblings don't choose the same engine. Smaller ones are only included in the readings.
-NEWS_LEAST_TOKENS = 400
+MIN_BROADCAST_TOKENS = 400
 # An instance whose estimate of a server's running requests is off by at least this count and this
 # fraction of them is corrected immediately: readings are sent in rounds, and dozens of short
 # requests arrive between two rounds. Without the correction, all instances of a region send them to
 # the same idle engine until the next round.
-WRONG_BY = 4
-WRONG_PART = 0.25
+CORRECTION_MIN_COUNT = 4
+CORRECTION_MIN_FRACTION = 0.25
 MILLI = 1_000
 # Number of rounds after which all shares are sent again, since a datagram may have been lost.
-SHARES_AGAIN_ROUNDS = 4
+SHARE_REFRESH_ROUNDS = 4
 # A new aggregator of a server publishes no readings for this long (ms), until it has received every
 # share. Without the delay, each starting instance would report every server as idle.
-NEW_AGGREGATOR_MS = 1_300.0
+AGGREGATOR_WARM_UP_MS = 1_300.0
 # Age of a reading at which the second aggregator takes over from the first as silent (ms).
-STANDS_IN_MS = 600.0
+TAKEOVER_AGE_MS = 600.0
 # Maximum age of a reading that is relayed (ms): older ones have already reached all instances.
-PASS_ON_MS = 1_000.0
+RELAY_MAX_AGE_MS = 1_000.0
 # Maximum number of readings in a datagram, newest first: of the own region to siblings, of other
 # regions to siblings, and of the own region to other regions. They keep a datagram below 1,400
 # bytes.
-MOST_NEAR_READINGS = 16
-MOST_PASSED_FAR_READINGS = 5
-MOST_FAR_READINGS = 36
+MAX_SIBLING_READINGS = 16
+MAX_RELAYED_READINGS = 5
+MAX_CROSS_REGION_READINGS = 36
 # A local change made less than this long before a reading was computed may not be included in it
 # (ms): the transit time to the aggregator, within a region and from another region.
-NEAR_WAY_MS = 3.0
-FAR_WAY_MS = 120.0
+REGION_TRANSIT_MS = 3.0
+CROSS_REGION_TRANSIT_MS = 120.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,14 +93,20 @@
         self._members = members
         self._sources = sources
         self._shares = ShareTable()
-        self._short_news = NewsAllowance()
+        self._broadcast_allowance = BroadcastAllowance()
         self._aggregators = Aggregators()
         self._sequence = 0
         self._round = 0
-        self._since_ms: dict[BackendServerId, float] = {}  # start of its role as aggregator
+        self._aggregator_since_ms: dict[
+            BackendServerId, float
+        ] = {}  # start of its role as aggregator
 
     def note_change(
-        self, server_id: BackendServerId, change: LoadOf, shown_log: float | None, is_near: bool
+        self,
+        server_id: BackendServerId,
+        change: LoadOf,
+        shown_log: float | None,
+        is_same_region: bool,
     ) -> list[Outgoing]:
         """Record a change of this instance's load on a server.
 
@@ -108,25 +114,25 @@
         the datagrams to send immediately.
         """
         self.board.note_change(server_id, change)
-        if not is_near:
+        if not is_same_region:
             # The instance of that region that receives the request reports it.
             return []
         outgoing = []
-        if change.running or abs(change.unread_tokens) >= SHARE_TOKENS:
+        if change.running or abs(change.unread_tokens) >= IMMEDIATE_SHARE_TOKENS:
             believed = self.board.load(server_id) if change.running > 0 else None
             running = None if believed is None else believed.running
-            outgoing += self._shares_to(self._aggregators.of(server_id), [server_id], running)
-        if abs(change.unread_tokens) >= NEWS_LEAST_TOKENS:
-            outgoing += self._news(server_id, change, shown_log)
+            outgoing += self._share_datagrams(self._aggregators.of(server_id), [server_id], running)
+        if abs(change.unread_tokens) >= MIN_BROADCAST_TOKENS:
+            outgoing += self._broadcast_change(server_id, change, shown_log)
         return outgoing
 
-    def _news(
+    def _broadcast_change(
         self, server_id: BackendServerId, change: LoadOf, shown_log: float | None
     ) -> list[Outgoing]:
         """Return the broadcast to siblings about a prefill that starts or ends, if any."""
         siblings = [one.note.ip for one in self._siblings()]
-        is_long = abs(change.unread_tokens) >= NEWS_TOKENS
-        if not is_long and not self._short_news.take(len(siblings) + 1):
+        is_long = abs(change.unread_tokens) >= ALWAYS_BROADCAST_TOKENS
+        if not is_long and not self._broadcast_allowance.take(len(siblings) + 1):
             return []
         slower_milli = round((shown_log or 0.0) * MILLI)
         return [Outgoing(siblings, LoadNews(write_load(server_id, change), slower_milli))]
@@ -134,7 +140,7 @@
     def _siblings(self) -> list[Member]:
         return self._members.live(RegionName(self._members.own.region))
 
-    def _shares_to(
+    def _share_datagrams(
         self,
         ips: Iterable[str],
         servers: list[BackendServerId],
@@ -155,9 +161,9 @@
         self._round += 1
         own_ip = self._members.own.ip
         siblings = [one.note.ip for one in self._siblings()]
-        self._aggregators.use(tuple(sorted([*siblings, own_ip])))
-        self._add_up()
-        if self._round % SHARES_AGAIN_ROUNDS:
+        self._aggregators.set_candidates(tuple(sorted([*siblings, own_ip])))
+        self._update_readings()
+        if self._round % SHARE_REFRESH_ROUNDS:
             return []
         self._shares.forget_old()
         self.board.forget_old()
@@ -165,57 +171,63 @@
         for server_id in {**self._sources.own_loads(), **dict.fromkeys(self._sources.doubted())}:
             for ip in self._aggregators.of(server_id):
                 by_peer.setdefault(ip, []).append(server_id)
-        return [one for ip, some in by_peer.items() for one in self._shares_to([ip], some)]
+        return [one for ip, some in by_peer.items() for one in self._share_datagrams([ip], some)]
 
-    def _add_up(self) -> None:
+    def _update_readings(self) -> None:
         now = now_ms()
         own_ip = self._members.own.ip
-        was_known = self._is_known_here()
-        mine: dict[BackendServerId, float] = {}
+        were_loads_known = self._are_loads_known()
+        aggregated: dict[BackendServerId, float] = {}
         for server_id in self._sources.region_servers():
-            named = self._aggregators.of(server_id)
-            if own_ip not in named:
+            aggregators = self._aggregators.of(server_id)
+            if own_ip not in aggregators:
                 continue
-            mine[server_id] = self._since_ms.get(server_id, now if was_known else 0.0)
-            if not self._tells(server_id, named[0] == own_ip, now - mine[server_id]):
+            aggregated[server_id] = self._aggregator_since_ms.get(
+                server_id, now if were_loads_known else 0.0
+            )
+            if not self._should_publish(
+                server_id, aggregators[0] == own_ip, now - aggregated[server_id]
+            ):
                 continue
-            self.board.take(server_id, self._reading(server_id, now))
-        self._since_ms = mine
-        self._aggregators.forget_all_but(set(self._sources.region_servers()))
+            self.board.take(server_id, self._aggregate(server_id, now))
+        self._aggregator_since_ms = aggregated
+        self._aggregators.retain(set(self._sources.region_servers()))
 
-    def _reading(self, server_id: BackendServerId, now: float) -> LoadReading:
+    def _aggregate(self, server_id: BackendServerId, now: float) -> LoadReading:
         """Return the region's total load on a server that this instance aggregates."""
         others = self._shares.sum(server_id)
         load = sum_loads((self._sources.own_load(server_id), others.load))
         is_doubted = others.is_doubted or self._sources.is_doubted(server_id)
         return LoadReading(now, now, load, is_doubted)
 
-    def _is_known_here(self) -> bool:
+    def _are_loads_known(self) -> bool:
         """Return whether loads may be known in the region, so that a new aggregator has to wait.
 
         An instance that has heard siblings but received no reading from them started together with
         them.
         """
-        if self.board.newer_than(LOAD_MS):
+        if self.board.newer_than(LOAD_MAX_AGE_MS):
             return True
         return not self._siblings()
 
-    def _tells(self, server_id: BackendServerId, is_first: bool, for_ms: float) -> bool:
+    def _should_publish(
+        self, server_id: BackendServerId, is_first: bool, role_age_ms: float
+    ) -> bool:
         """Return whether this instance should publish its sum for a server."""
-        if for_ms < NEW_AGGREGATOR_MS:
+        if role_age_ms < AGGREGATOR_WARM_UP_MS:
             return False
         age_ms = self.board.age_ms(server_id)
-        return is_first or age_ms is None or age_ms >= STANDS_IN_MS
+        return is_first or age_ms is None or age_ms >= TAKEOVER_AGE_MS
 
-    def readings_for(self, is_near: bool) -> list[LoadReadingNote]:
+    def readings_for(self, is_same_region: bool) -> list[LoadReadingNote]:
         """Return the readings to send to a peer of the own region, or of another."""
         here = set(self._sources.region_servers())
-        fresh = self.board.newer_than(PASS_ON_MS)
+        fresh = self.board.newer_than(RELAY_MAX_AGE_MS)
         near = [pair for pair in fresh if pair[0] in here]
-        if not is_near:
-            return _notes(near[:MOST_FAR_READINGS])
+        if not is_same_region:
+            return _reading_notes(near[:MAX_CROSS_REGION_READINGS])
         far = [pair for pair in fresh if pair[0] not in here]
-        return _notes(near[:MOST_NEAR_READINGS] + far[:MOST_PASSED_FAR_READINGS])
+        return _reading_notes(near[:MAX_SIBLING_READINGS] + far[:MAX_RELAYED_READINGS])
 
     def take_readings(self, notes: list[LoadReadingNote]) -> None:
         """Merge a peer's readings; the newest reading of each server is kept."""
@@ -223,32 +235,32 @@
         here = set(self._sources.region_servers()) if notes else set()
         for note in notes:
             server_id = BackendServerId(note.load.backend_server)
-            way_ms = NEAR_WAY_MS if server_id in here else FAR_WAY_MS
+            transit_ms = REGION_TRANSIT_MS if server_id in here else CROSS_REGION_TRANSIT_MS
             at_ms = now - max(note.age_ms, 0)
-            reading = LoadReading(at_ms, at_ms - way_ms, read_load(note.load), note.doubted)
+            reading = LoadReading(at_ms, at_ms - transit_ms, read_load(note.load), note.doubted)
             self.board.take(server_id, reading)
 
-    def take_shares(self, told: LoadShares) -> list[Outgoing]:
+    def take_shares(self, message: LoadShares) -> list[Outgoing]:
         """Record a sibling's shares of servers that this instance aggregates.
 
         Returns an immediate correction if the sibling's estimate of a server's load is far off.
         """
-        self._shares.take(told)
-        if told.believed_running is None or len(told.shares) != 1:
+        self._shares.take(message)
+        if message.believed_running is None or len(message.shares) != 1:
             return []
-        server_id = BackendServerId(told.shares[0].load.backend_server)
-        if not self._adds_up(server_id):
+        server_id = BackendServerId(message.shares[0].load.backend_server)
+        if not self._is_established_aggregator(server_id):
             return []
-        reading = self._reading(server_id, now_ms())
-        wrong_by = abs(told.believed_running - reading.load.running)
-        if wrong_by < max(WRONG_BY, WRONG_PART * reading.load.running):
+        reading = self._aggregate(server_id, now_ms())
+        deviation = abs(message.believed_running - reading.load.running)
+        if deviation < max(CORRECTION_MIN_COUNT, CORRECTION_MIN_FRACTION * reading.load.running):
             return []
-        return [Outgoing([told.ip], LoadWord(_notes([(server_id, reading)])[0]))]
+        return [Outgoing([message.ip], LoadWord(_reading_notes([(server_id, reading)])[0]))]
 
-    def _adds_up(self, server_id: BackendServerId) -> bool:
+    def _is_established_aggregator(self, server_id: BackendServerId) -> bool:
         """Return whether this instance is a server's first aggregator, with all shares received."""
-        since_ms = self._since_ms.get(server_id)
-        if since_ms is None or now_ms() - since_ms < NEW_AGGREGATOR_MS:
+        since_ms = self._aggregator_since_ms.get(server_id)
+        if since_ms is None or now_ms() - since_ms < AGGREGATOR_WARM_UP_MS:
             return False
         return self._aggregators.of(server_id)[0] == self._members.own.ip
 
@@ -260,7 +272,7 @@
             self._sources.note_shown(server_id, news.slower_milli / MILLI)
 
 
-def _notes(readings: list[tuple[BackendServerId, LoadReading]]) -> list[LoadReadingNote]:
+def _reading_notes(readings: list[tuple[BackendServerId, LoadReading]]) -> list[LoadReadingNote]:
     now = now_ms()
     return [
         LoadReadingNote(round(now - one.at_ms), write_load(server_id, one.load), one.is_doubted)
--- a/sparline/fleet/_load_shares.py
+++ b/sparline/fleet/_load_shares.py
@@ -9,10 +9,10 @@
 from sparline.schema._gossip import LoadShares
 
 # Lifetime of a share that is not sent again (ms): each share is sent again every second.
-SHARE_MS = 2_500.0
+SHARE_LIFETIME_MS = 2_500.0
 # Number of aggregators per server: a first one, and a second that takes over if the first is
 # silent.
-AGGREGATORS = 2
+AGGREGATORS_PER_SERVER = 2
 
 
 # Rendezvous hash of an instance for one server, and the address of the instance.
@@ -45,21 +45,21 @@
         """Create an empty table."""
         self._shares: dict[BackendServerId, dict[str, _Share]] = {}
 
-    def take(self, told: LoadShares) -> None:
+    def take(self, message: LoadShares) -> None:
         """Record the shares in a datagram, unless it arrived out of order."""
         now = now_ms()
-        for note in told.shares:
+        for note in message.shares:
             shares = self._shares.setdefault(BackendServerId(note.load.backend_server), {})
-            held = shares.get(told.ip)
-            if held is not None and _is_overtaken(told, held):
+            held = shares.get(message.ip)
+            if held is not None and _is_out_of_order(message, held):
                 continue
-            shares[told.ip] = _Share(
-                now, told.incarnation, told.sequence, read_load(note.load), note.doubted
+            shares[message.ip] = _Share(
+                now, message.incarnation, message.sequence, read_load(note.load), note.doubted
             )
 
     def sum(self, server_id: BackendServerId) -> ServerSum:
         """Return the sum of the other instances' shares of a server."""
-        since = now_ms() - SHARE_MS
+        since = now_ms() - SHARE_LIFETIME_MS
         shares = [one for one in self._shares.get(server_id, {}).values() if one.at_ms >= since]
         return ServerSum(
             sum_loads(one.load for one in shares), any(one.is_doubted for one in shares)
@@ -67,7 +67,7 @@
 
     def forget_old(self) -> None:
         """Drop expired shares."""
-        since = now_ms() - SHARE_MS
+        since = now_ms() - SHARE_LIFETIME_MS
         for server_id, shares in list(self._shares.items()):
             kept = {ip: one for ip, one in shares.items() if one.at_ms >= since}
             if kept:
@@ -76,8 +76,8 @@
                 del self._shares[server_id]
 
 
-def _is_overtaken(told: LoadShares, held: _Share) -> bool:
-    return told.incarnation == held.incarnation and told.sequence < held.sequence
+def _is_out_of_order(message: LoadShares, held: _Share) -> bool:
+    return message.incarnation == held.incarnation and message.sequence < held.sequence
 
 
 class Aggregators:
@@ -88,30 +88,30 @@
         self._ips: tuple[str, ...] = ()
         self._ranked: dict[BackendServerId, list[_Rank]] = {}
 
-    def use(self, ips: tuple[str, ...]) -> None:
+    def set_candidates(self, ips: tuple[str, ...]) -> None:
         """Set the addresses of the candidates, the instances of the region."""
         if ips == self._ips:
             return
-        gone = set(self._ips).difference(ips)
-        come = set(ips).difference(self._ips)
+        departed = set(self._ips).difference(ips)
+        joined = set(ips).difference(self._ips)
         self._ips = ips
         # A joining or departing instance changes the ranking of few servers, so the instances need
         # not be ranked again for every server.
         self._ranked = {
-            server_id: _first([*ranked, *(_rank(server_id, ip) for ip in come)])
+            server_id: _top_ranked([*ranked, *(_rank(server_id, ip) for ip in joined)])
             for server_id, ranked in self._ranked.items()
-            if not any(ip in gone for _, ip in ranked)
+            if not any(ip in departed for _, ip in ranked)
         }
 
     def of(self, server_id: BackendServerId) -> tuple[str, ...]:
         """Return the addresses of a server's aggregators: the first, then its stand-in."""
         ranked = self._ranked.get(server_id)
         if ranked is None:
-            ranked = _first([_rank(server_id, ip) for ip in self._ips])
+            ranked = _top_ranked([_rank(server_id, ip) for ip in self._ips])
             self._ranked[server_id] = ranked
         return tuple(ip for _, ip in ranked)
 
-    def forget_all_but(self, known: set[BackendServerId]) -> None:
+    def retain(self, known: set[BackendServerId]) -> None:
         """Drop the rankings of servers that no longer exist."""
         if len(self._ranked) > len(known):
             self._ranked = {one: of for one, of in self._ranked.items() if one in known}
@@ -121,5 +121,5 @@
     return hash64(f"load/{server_id}/{ip}"), ip
 
 
-def _first(ranks: list[_Rank]) -> list[_Rank]:
-    return sorted(ranks, reverse=True)[:AGGREGATORS]
+def _top_ranked(ranks: list[_Rank]) -> list[_Rank]:
+    return sorted(ranks, reverse=True)[:AGGREGATORS_PER_SERVER]
--- a/sparline/fleet/_members.py
+++ b/sparline/fleet/_members.py
@@ -12,24 +12,24 @@
 
 # A member without a new heartbeat for this long gets no work and is not offered to callers (ms):
 # twelve gossip rounds, so that the loss of one or two datagrams has no effect.
-SILENT_MS = 3_000.0
+LIVENESS_TIMEOUT_MS = 3_000.0
 # The timeout for members of other regions grows with the fleet (ms per known instance): a datagram
 # relays a bounded number of heartbeats, whatever the number of instances.
-FAR_SILENT_MS = 25.0
+CROSS_REGION_TIMEOUT_PER_MEMBER_MS = 25.0
 # Maximum age of a heartbeat that is relayed (ms): several rounds.
-PASS_ON_MS = 1_500.0
+RELAY_MAX_AGE_MS = 1_500.0
 # How long a silent member still counts among those that divide a shared limit (ms): it may be alive
 # behind a network partition and use its share.
-SHARES_FOR_MS = 20_000.0
+SHARER_TIMEOUT_MS = 20_000.0
 # How long the set of members that divide a limit must be unchanged before shares are used (ms): the
 # second over which the limit applies, plus time for all siblings to learn of a change, so that the
 # old and the new owner of a share don't use it in the same second.
 SETTLED_MS = 1_500.0
 # A member that is silent for this long is removed (ms).
-FORGET_MS = 600_000.0
+RETENTION_MS = 600_000.0
 # Maximum age of a member's statement on the store that is still used (ms): in a region of 71
 # instances, a sibling's turn comes every 4.4 s, and instances of other regions send to few peers.
-STORE_WORD_MS = 8_000.0
+STORE_REPORT_MAX_AGE_MS = 8_000.0
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
         self.new_siblings: list[str] = []  # addresses of siblings new in the last datagram
         self._alone_until_ms = now_ms()  # when the first other was heard; before that, own start
         self._others: dict[str, Member] = {}
-        self._by_key: dict[int, str] = {}  # address by heartbeat key
+        self._ip_by_key: dict[int, str] = {}  # address by heartbeat key
         self._own_key = member_key(own.ip)
 
     def take(self, gossip: Gossip) -> bool:
@@ -71,7 +71,7 @@
         if note.ip == self.own.ip:
             return False
         known = self._others.get(note.ip)
-        if known is not None and _is_older(note, known.note):
+        if known is not None and _is_out_of_order(note, known.note):
             return False
         is_new = known is None or known.note.incarnation != note.incarnation or not known.met
         member = self._update(note)
@@ -79,16 +79,16 @@
         member.store_revision = gossip.store_revision
         member.store_reached = gossip.store_reached
         member.told_at_ms = now_ms()
-        self.new_siblings = [one.ip for one in gossip.members if self._take_hearsay(one)]
-        self.strangers = [beat.key for beat in gossip.beats if not self._take_beat(beat)]
+        self.new_siblings = [one.ip for one in gossip.members if self._merge_relayed_note(one)]
+        self.strangers = [beat.key for beat in gossip.beats if not self._merge_heartbeat(beat)]
         return is_new
 
-    def _take_beat(self, beat: MemberBeat) -> bool:
+    def _merge_heartbeat(self, beat: MemberBeat) -> bool:
         """Merge a relayed heartbeat; return whether its instance is known."""
         if beat.key == self._own_key:
             return True
-        known = self._others.get(self._by_key.get(beat.key, ""))
-        if known is None or beat.start != _start_of(known.note):
+        known = self._others.get(self._ip_by_key.get(beat.key, ""))
+        if known is None or beat.start != _incarnation_key(known.note):
             return False
         if beat.counter > known.note.counter:
             self._update(
@@ -98,16 +98,19 @@
 
     def heard_lately(self, region: RegionName | None = None) -> list[MemberBeat]:
         """Return the heartbeats of one region, or of all, that are recent enough to be relayed."""
-        since = now_ms() - PASS_ON_MS
+        since = now_ms() - RELAY_MAX_AGE_MS
         return [
             MemberBeat(
-                member_key(one.note.ip), _start_of(one.note), one.note.counter, one.note.phase
+                member_key(one.note.ip),
+                _incarnation_key(one.note),
+                one.note.counter,
+                one.note.phase,
             )
             for one in self._others.values()
             if one.heard_at_ms >= since and (region is None or one.note.region == region)
         ]
 
-    def _take_hearsay(self, note: MemberNote) -> bool:
+    def _merge_relayed_note(self, note: MemberNote) -> bool:
         """Merge a relayed member note; return whether it adds an instance of this region."""
         if note.ip == self.own.ip:
             return False
@@ -126,11 +129,11 @@
             self._alone_until_ms = now
         known = self._others.get(note.ip)
         # A restart does not change the set that divides limits: its address still counted.
-        counted = known is not None and known.heard_at_ms >= now - SHARES_FOR_MS
+        counted = known is not None and known.heard_at_ms >= now - SHARER_TIMEOUT_MS
         since_ms = known.since_ms if known is not None and counted else now
         if known is None or known.note.incarnation != note.incarnation:
             known = self._others[note.ip] = Member(note, now, now)
-            self._by_key[member_key(note.ip)] = note.ip
+            self._ip_by_key[member_key(note.ip)] = note.ip
         if known.note.phase is not note.phase:
             known.phase_at_ms = now
         known.note = note
@@ -140,7 +143,7 @@
 
     def described(self, keys: Iterable[int]) -> list[MemberNote]:
         """Return the notes of the known members among the requested keys."""
-        known = [self._others.get(self._by_key.get(key, "")) for key in keys]
+        known = [self._others.get(self._ip_by_key.get(key, "")) for key in keys]
         return [one.note for one in known if one is not None]
 
     def others(self) -> Iterator[Member]:
@@ -149,20 +152,28 @@
 
     def live(self, region: RegionName | None = None) -> list[Member]:
         """Return the other instances that accept work, of one region or of all."""
-        return [one for one in self._awake(region) if one.note.phase is MemberPhase.live]
+        return [one for one in self._not_timed_out(region) if one.note.phase is MemberPhase.live]
 
     def awake(self) -> list[Member]:
         """Return the other instances that accept work or are about to."""
-        return [one for one in self._awake(None) if one.note.phase is not MemberPhase.leaving]
+        return [
+            one for one in self._not_timed_out(None) if one.note.phase is not MemberPhase.leaving
+        ]
 
-    def _awake(self, region: RegionName | None) -> list[Member]:
+    def _not_timed_out(self, region: RegionName | None) -> list[Member]:
         now = now_ms()
-        far_ms = max(SILENT_MS, FAR_SILENT_MS * len(self._others))
+        cross_region_timeout_ms = max(
+            LIVENESS_TIMEOUT_MS, CROSS_REGION_TIMEOUT_PER_MEMBER_MS * len(self._others)
+        )
         return [
             one
             for one in self._others.values()
             if now - one.heard_at_ms
-            <= (SILENT_MS if one.note.region == self.own.region else far_ms)
+            <= (
+                LIVENESS_TIMEOUT_MS
+                if one.note.region == self.own.region
+                else cross_region_timeout_ms
+            )
             and (region is None or one.note.region == region)
         ]
 
@@ -172,7 +183,7 @@
         return [
             one
             for one in self._others.values()
-            if one.heard_at_ms >= now - SILENT_MS
+            if one.heard_at_ms >= now - LIVENESS_TIMEOUT_MS
             and one.note.phase is MemberPhase.leaving
             and one.phase_at_ms >= now - for_less_than_ms
             and one.note.region == region
@@ -180,7 +191,7 @@
 
     def sharers(self, region: RegionName | None = None) -> list[str]:
         """Return the addresses of all instances, including this one, that divide a shared limit."""
-        since = now_ms() - SHARES_FOR_MS
+        since = now_ms() - SHARER_TIMEOUT_MS
         found = [
             one.note.ip
             for one in self._others.values()
@@ -192,7 +203,7 @@
 
     def regions_sharing(self) -> list[RegionName]:
         """Return the region of each instance, including this one, that divides a shared limit."""
-        since = now_ms() - SHARES_FOR_MS
+        since = now_ms() - SHARER_TIMEOUT_MS
         found = [one.region for one in self._others.values() if one.heard_at_ms >= since]
         return [*found, RegionName(self.own.region)]
 
@@ -204,11 +215,11 @@
         """
         now = now_ms()
         if not self._others:
-            return now - self._alone_until_ms >= SHARES_FOR_MS
+            return now - self._alone_until_ms >= SHARER_TIMEOUT_MS
         changed_at_ms = self._alone_until_ms
         for one in self._others.values():
             if region is None or one.note.region == region:
-                silent_at_ms = one.heard_at_ms + SHARES_FOR_MS
+                silent_at_ms = one.heard_at_ms + SHARER_TIMEOUT_MS
                 changed_at_ms = max(
                     changed_at_ms, one.since_ms if now < silent_at_ms else silent_at_ms
                 )
@@ -216,14 +227,14 @@
 
     def is_store_reached(self) -> bool:
         """Return whether any live member recently reported that the store responds to it."""
-        since = now_ms() - STORE_WORD_MS
+        since = now_ms() - STORE_REPORT_MAX_AGE_MS
         return any(one.store_reached and one.told_at_ms >= since for one in self.live())
 
     def forget_old(self) -> None:
         """Remove members that have been silent for longer than the retention time."""
-        since = now_ms() - FORGET_MS
+        since = now_ms() - RETENTION_MS
         self._others = {ip: one for ip, one in self._others.items() if one.heard_at_ms >= since}
-        self._by_key = {key: ip for key, ip in self._by_key.items() if ip in self._others}
+        self._ip_by_key = {key: ip for key, ip in self._ip_by_key.items() if ip in self._others}
 
 
 def member_key(ip: str) -> int:
@@ -231,11 +242,11 @@
     return hash64(ip) & 0xFFFF_FFFF
 
 
-def _start_of(note: MemberNote) -> int:
+def _incarnation_key(note: MemberNote) -> int:
     """Return the last 16 bits of an incarnation, as in relayed heartbeats."""
     return note.incarnation & 0xFFFF
 
 
-def _is_older(note: MemberNote, known: MemberNote) -> bool:
+def _is_out_of_order(note: MemberNote, known: MemberNote) -> bool:
     """Return whether a datagram of the same incarnation arrived out of order."""
     return note.incarnation == known.incarnation and note.counter < known.counter
--- a/sparline/fleet/_quota_exchange.py
+++ b/sparline/fleet/_quota_exchange.py
@@ -24,18 +24,18 @@
 )
 
 # How long an account holder that did not reply is skipped (ms).
-PASSED_OVER_MS = 3_000.0
+SKIP_HOLDER_MS = 3_000.0
 # Assumed number of instances that share a quota, for an instance that has heard of no other.
-UNKNOWN_INSTANCES = 24
+ASSUMED_INSTANCES = 24
 # Number of candidate account holders per region, which exchange totals: instances may temporarily
 # disagree on the account holder, so that several keep the account at the same time.
-HOLDERS = 2
+HOLDER_CANDIDATES = 2
 
 QuotaMessage = QuotaReport | QuotaWord | QuotaTotals
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaOutgoing:
+class QuotaDatagram:
     """Hold a datagram to send and its recipients."""
 
     peers: list[str]  # recipient addresses
@@ -55,15 +55,17 @@
         self.allowance = allowance
         self._members = members
         self._region = RegionName(members.own.region)
-        self.account = Account(self._region, terms_of, self._parts)
-        self._passed_over: dict[str, float] = {}  # unresponsive account holders, skipped until
+        self.account = Account(self._region, terms_of, self._region_fractions)
+        self._skipped_until_ms: dict[str, float] = {}  # unresponsive account holders, skipped until
         self._reported_to = ""
-        self._siblings = 1  # instances of the region, as of the last round
-        self._instances = UNKNOWN_INSTANCES  # instances that share quotas, as of the last round
+        self._region_instances = 1  # instances of the region, as of the last round
+        self._fleet_instances = (
+            ASSUMED_INSTANCES  # instances that share quotas, as of the last round
+        )
 
     def admit(self, organisation: Organisation, cost: float) -> float | None:
         """Return None if a request is admitted, otherwise the delay before a retry (ms)."""
-        return self.allowance.admit(organisation, cost, self._instances, now_ms())
+        return self.allowance.admit(organisation, cost, self._fleet_instances, now_ms())
 
     def is_guess(self, organisation: OrganisationId) -> bool:
         """Return whether a quota may have changed since the account holder's last reply."""
@@ -77,7 +79,7 @@
         """Return the estimate of a quota's remaining units, or None if it is unused here."""
         return self.allowance.left(organisation, now_ms())
 
-    def _parts(self) -> dict[RegionName, float]:
+    def _region_fractions(self) -> dict[RegionName, float]:
         """Return each region's fraction of a quota, by its number of instances."""
         counts: dict[RegionName, int] = {}
         for region in self._members.regions_sharing():
@@ -85,13 +87,13 @@
         total = sum(counts.values())
         return {region: count / total for region, count in counts.items()}
 
-    def due(self) -> list[QuotaOutgoing]:
+    def due(self) -> list[QuotaDatagram]:
         """Return what is due now: a usage report, or totals if this instance is the holder."""
         now = now_ms()
-        if not self.allowance.is_report_due(self._siblings, now):
+        if not self.allowance.is_report_due(self._region_instances, now):
             return []
         if self.allowance.is_unanswered(now) and self._reported_to != self._members.own.ip:
-            self._passed_over[self._reported_to] = now + PASSED_OVER_MS
+            self._skipped_until_ms[self._reported_to] = now + SKIP_HOLDER_MS
         holder = self._holders(self._region)[0]
         self._reported_to = holder
         report = self.allowance.report(now)
@@ -99,10 +101,10 @@
         if holder == own.ip:
             levels = self.account.take_report((own.ip, own.incarnation), report, now)
             self.allowance.take_word(report.sequence, levels, now)
-            return self._pressed_totals(now)
+            return self._urgent_totals(now)
         uses = [_note_of(use) for use in report.uses]
         return [
-            QuotaOutgoing([holder], QuotaReport(own.ip, own.incarnation, report.sequence, uses))
+            QuotaDatagram([holder], QuotaReport(own.ip, own.incarnation, report.sequence, uses))
         ]
 
     def _holders(self, region: RegionName) -> list[str]:
@@ -110,24 +112,24 @@
         now = now_ms()
         ips = [one.note.ip for one in self._members.live(region)]
         if region == self._region:
-            ips = [ip for ip in ips if self._passed_over.get(ip, 0.0) < now]
+            ips = [ip for ip in ips if self._skipped_until_ms.get(ip, 0.0) < now]
             ips.append(self._members.own.ip)
-        return sorted(ips, key=lambda ip: hash64(f"quota/{ip}"), reverse=True)[:HOLDERS]
+        return sorted(ips, key=lambda ip: hash64(f"quota/{ip}"), reverse=True)[:HOLDER_CANDIDATES]
 
-    def round(self) -> list[QuotaOutgoing]:
+    def round(self) -> list[QuotaDatagram]:
         """Return the datagrams to send in a round."""
         now = now_ms()
-        self._siblings = len(self._members.live(self._region)) + 1
+        self._region_instances = len(self._members.live(self._region)) + 1
         sharers = len(self._members.sharers())
-        self._instances = sharers if sharers > 1 else UNKNOWN_INSTANCES
+        self._fleet_instances = sharers if sharers > 1 else ASSUMED_INSTANCES
         self.allowance.forget_idle(now)
         self.account.forget_idle(now)
         return [*self.due(), *self._totals(now)]
 
-    def _pressed_totals(self, now: float) -> list[QuotaOutgoing]:
+    def _urgent_totals(self, now: float) -> list[QuotaDatagram]:
         return self._totals(now) if self.account.is_word_due(now) else []
 
-    def _totals(self, now: float) -> list[QuotaOutgoing]:
+    def _totals(self, now: float) -> list[QuotaDatagram]:
         if not len(self.account):
             return []
         own = self._members.own
@@ -137,9 +139,9 @@
             if region != self._region:
                 peers += self._holders(region)[:1]
         message = QuotaTotals(own.ip, own.incarnation, self._region, notes)
-        return [QuotaOutgoing(peers, message)] if peers else []
+        return [QuotaDatagram(peers, message)] if peers else []
 
-    def take(self, message: QuotaMessage) -> list[QuotaOutgoing]:
+    def take(self, message: QuotaMessage) -> list[QuotaDatagram]:
         """Process a quota message; return the datagrams to send in reply, if any."""
         now = now_ms()
         match message:
@@ -148,22 +150,22 @@
                 member = (message.ip, message.incarnation)
                 levels = self.account.take_report(member, report, now)
                 notes = [QuotaLevelNote(key, round(level)) for key, level in levels.items()]
-                answer = QuotaOutgoing([message.ip], QuotaWord(message.sequence, notes))
-                return [answer, *self._pressed_totals(now)]
+                answer = QuotaDatagram([message.ip], QuotaWord(message.sequence, notes))
+                return [answer, *self._urgent_totals(now)]
             case QuotaWord():
                 levels = {note.key: float(note.level) for note in message.levels}
                 self.allowance.take_word(message.sequence, levels, now)
             case QuotaTotals():
                 totals = [RegionTotal(note.key, note.total) for note in message.totals]
                 holder = (message.ip, message.incarnation)
-                self.account.take_totals(self._place_of(message), holder, totals, now)
+                self.account.take_totals(self._account_of(message), holder, totals, now)
         return []
 
-    def _place_of(self, told: QuotaTotals) -> RegionName:
+    def _account_of(self, message: QuotaTotals) -> RegionName:
         """Return the account that totals belong to, separate for each holder of the own region."""
-        if told.region != self._region:
-            return RegionName(told.region)
-        return RegionName(f"{told.region}/{told.ip}")
+        if message.region != self._region:
+            return RegionName(message.region)
+        return RegionName(f"{message.region}/{message.ip}")
 
 
 def _note_of(use: Use) -> QuotaUseNote:
--- a/sparline/fleet/_store_copy.py
+++ b/sparline/fleet/_store_copy.py
@@ -6,7 +6,7 @@
 from sparline.schema._gossip import StoreCopy, StoreItemNote
 
 # Maximum number of tombstones kept, so that an incremental copy can include deletions.
-MOST_DELETED = 2_000
+MAX_TOMBSTONES = 2_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,8 +28,10 @@
         """Create an empty replica; `on_change` is called with each effective change."""
         self.revision = 0  # the replica is complete up to this revision
         self._items: dict[str, StoreChange] = {}
-        self._deleted: dict[str, StoreChange] = {}
-        self._oldest_delta = 0  # lowest revision from which an incremental copy is possible
+        self._tombstones: dict[str, StoreChange] = {}
+        self._oldest_delta_revision = (
+            0  # lowest revision from which an incremental copy is possible
+        )
         self._on_change = on_change
 
     def apply(self, changes: list[StoreChange], revision: int) -> None:
@@ -46,38 +48,38 @@
         gone = [key for key, one in self._items.items() if key not in named]
         self.apply([*changes, *(StoreChange(key, revision, None) for key in gone)], revision)
         # The list has no earlier deletions, so peers at an older revision need a complete copy.
-        self._oldest_delta = max(self._oldest_delta, revision)
+        self._oldest_delta_revision = max(self._oldest_delta_revision, revision)
 
     def _apply_one(self, change: StoreChange) -> None:
-        known = self._items.get(change.key) or self._deleted.get(change.key)
+        known = self._items.get(change.key) or self._tombstones.get(change.key)
         if known is not None and known.revision >= change.revision:
             return
         if change.value is None:
             was_held = self._items.pop(change.key, None)
-            self._deleted[change.key] = change
-            self._trim_deleted()
+            self._tombstones[change.key] = change
+            self._trim_tombstones()
             if was_held is None:
                 return
         else:
-            self._deleted.pop(change.key, None)
+            self._tombstones.pop(change.key, None)
             self._items[change.key] = change
         self._on_change(change)
 
-    def _trim_deleted(self) -> None:
-        while len(self._deleted) > MOST_DELETED:
-            oldest = min(self._deleted.values(), key=lambda one: one.revision)
-            del self._deleted[oldest.key]
-            self._oldest_delta = oldest.revision
+    def _trim_tombstones(self) -> None:
+        while len(self._tombstones) > MAX_TOMBSTONES:
+            oldest = min(self._tombstones.values(), key=lambda one: one.revision)
+            del self._tombstones[oldest.key]
+            self._oldest_delta_revision = oldest.revision
 
     def since(self, revision: int) -> StoreCopy:
         """Return the changes after a revision, or all items if some of them are not known."""
-        whole = revision < self._oldest_delta or revision <= 0
+        whole = revision < self._oldest_delta_revision or revision <= 0
         changes = list(self._items.values()) if whole else self._changes_after(revision)
         notes = [StoreItemNote(one.key, one.revision, one.value) for one in changes]
         return StoreCopy(self.revision, whole, notes)
 
     def _changes_after(self, revision: int) -> list[StoreChange]:
-        both = [*self._items.values(), *self._deleted.values()]
+        both = [*self._items.values(), *self._tombstones.values()]
         return [one for one in both if one.revision > revision]
 
     def take_copy(self, copy: StoreCopy) -> None:
--- a/sparline/fleet/_store_reader.py
+++ b/sparline/fleet/_store_reader.py
@@ -18,21 +18,21 @@
 # following ones dead. With different waits, the first to time out finds the store recovered, and
 # the other instances notice that its copy is newer.
 WATCH_WAIT_MS = 10_000
-WATCH_LEAST_PART = 0.4
+WATCH_MIN_FRACTION = 0.4
 # Minimum delay after a response before the next watch (ms): changes that arrive together cost each
 # instance only one call. A change takes effect this much later; 3,000 ms are allowed.
-GATHER_LEAST_MS = 400.0
+MIN_WATCH_DELAY_MS = 400.0
 # The delay grows with the number of watchers (ms per watcher), so that all of them together call
 # the store at most 70 times per second, up to a maximum that uses half of the time allowed.
-GATHER_MS_A_WATCHER = 14.0
-GATHER_MOST_MS = 1_500.0
+WATCH_DELAY_PER_WATCHER_MS = 14.0
+MAX_WATCH_DELAY_MS = 1_500.0
 # Interval at which a non-watcher checks whether it should watch (ms), and the random interval at
 # which it queries the store itself (ms), to get changes even if the store rejects all watchers.
-FOLLOW_STEP_MS = 250.0
-ASK_LEAST_MS = 20_000.0
-ASK_MOST_MS = 40_000.0
+WATCHER_CHECK_MS = 250.0
+MIN_QUERY_INTERVAL_MS = 20_000.0
+MAX_QUERY_INTERVAL_MS = 40_000.0
 # How long after a fault the minimum delay applies (ms): expired entries are renewed in this time.
-SETTLING_MS = 6_000.0
+RECOVERY_MS = 6_000.0
 # Timeout of a full read (ms); the store normally responds within milliseconds, and a slow one
 # within some hundreds.
 READ_TIMEOUT_MS = 4_000
@@ -40,8 +40,8 @@
 WATCH_SLACK_MS = 1_500
 # Initial and maximum backoff after a fault, doubled at each failure, with random jitter (ms): all
 # instances meet the same outage, and rejected calls count against the store's rate limit too.
-PAUSE_FIRST_MS = 150.0
-PAUSE_LONGEST_MS = 1_000.0
+INITIAL_BACKOFF_MS = 150.0
+MAX_BACKOFF_MS = 1_000.0
 # A watch is considered dead once a peer's copy has been newer for this long, plus the delay after a
 # response (ms).
 BEHIND_MS = 700.0
@@ -116,7 +116,7 @@
         self._newest_peer_revision = newest_peer_revision
         self._watchers = watchers
         self._watches = watches
-        self._must_read = True
+        self._needs_full_read = True
         self._failures = 0
         self._behind_since_ms: float | None = None
         self._chance = random.Random()
@@ -133,32 +133,32 @@
     def run(self) -> None:
         """Synchronise with the store for the lifetime of the process."""
         while True:
-            if self._must_read:
+            if self._needs_full_read:
                 answer = self._client.read_all(READ_TIMEOUT_MS)
-                self._take(answer, "read", self._copy.replace)
+                self._handle_answer(answer, "read", self._copy.replace)
             elif self._watches():
-                self._watch(round(self._chance.uniform(WATCH_LEAST_PART, 1.0) * WATCH_WAIT_MS))
+                self._watch(round(self._chance.uniform(WATCH_MIN_FRACTION, 1.0) * WATCH_WAIT_MS))
             else:
-                self._follow()
+                self._wait_as_non_watcher()
 
     def _watch(self, wait_ms: int) -> None:
         answer = self._client.watch(self._copy.revision, wait_ms, wait_ms + WATCH_SLACK_MS)
-        self._take(answer, "watch", self._copy.apply)
+        self._handle_answer(answer, "watch", self._copy.apply)
 
-    def _follow(self) -> None:
+    def _wait_as_non_watcher(self) -> None:
         """Wait until this instance becomes a watcher; query the store at random intervals."""
-        ask_at_ms = now_ms() + self._chance.uniform(ASK_LEAST_MS, ASK_MOST_MS)
+        query_at_ms = now_ms() + self._chance.uniform(MIN_QUERY_INTERVAL_MS, MAX_QUERY_INTERVAL_MS)
         while not self._watches():
-            if now_ms() >= ask_at_ms:
+            if now_ms() >= query_at_ms:
                 self._watch(0)
                 return
-            gevent.sleep(FOLLOW_STEP_MS / 1000)
+            gevent.sleep(WATCHER_CHECK_MS / 1000)
 
     def note_peers_fault(self, ago_ms: float) -> None:
         """Record a store fault seen by the peer whose copy was applied."""
         self.disturbed_at_ms = max(self.disturbed_at_ms, now_ms() - ago_ms)
 
-    def _take(
+    def _handle_answer(
         self,
         answer: Result[StoreAnswer, StoreFault],
         call: str,
@@ -167,38 +167,38 @@
         match answer:
             case Ok(news):
                 self._on_call(call, "answered")
-                self._note_answer()
-                self._must_read = False
+                self._record_answer()
+                self._needs_full_read = False
                 apply(news.changes, news.revision)
                 if news.changes:
-                    gevent.sleep(self._gather_ms() / 1000)
+                    gevent.sleep(self._watch_delay_ms() / 1000)
             case Err(fault):
                 self._on_call(call, fault.kind.value)
-                self._note_fault(call, fault)
+                self._record_fault(call, fault)
 
-    def _gather_ms(self) -> float:
-        if now_ms() - self.disturbed_at_ms < SETTLING_MS:
-            return GATHER_LEAST_MS
-        wanted_ms = GATHER_MS_A_WATCHER * self._watchers()
-        return min(max(wanted_ms, GATHER_LEAST_MS), GATHER_MOST_MS)
+    def _watch_delay_ms(self) -> float:
+        if now_ms() - self.disturbed_at_ms < RECOVERY_MS:
+            return MIN_WATCH_DELAY_MS
+        delay_ms = WATCH_DELAY_PER_WATCHER_MS * self._watchers()
+        return min(max(delay_ms, MIN_WATCH_DELAY_MS), MAX_WATCH_DELAY_MS)
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         if self._failures or not self.answered_at_ms:
             log.bind(failures=self._failures, revision=self._copy.revision).info("store_reached")
         self._failures = 0
         self.answered_at_ms = now_ms()
 
-    def _note_fault(self, call: str, fault: StoreFault) -> None:
+    def _record_fault(self, call: str, fault: StoreFault) -> None:
         if fault.kind is StoreFaultKind.HISTORY_GONE:
             log.bind(revision=self._copy.revision).info("store_history_gone")
-            self._must_read = True
+            self._needs_full_read = True
             return
         self._failures += 1
         self.disturbed_at_ms = now_ms()
         if self._failures == 1:
             log.bind(call=call, fault=fault.kind.value, text=fault.text).warning("store_lost")
-        longest_ms = min(PAUSE_FIRST_MS * 2**self._failures, PAUSE_LONGEST_MS)
-        gevent.sleep(self._chance.uniform(0.5, 1.0) * longest_ms / 1000)
+        backoff_ms = min(INITIAL_BACKOFF_MS * 2**self._failures, MAX_BACKOFF_MS)
+        gevent.sleep(self._chance.uniform(0.5, 1.0) * backoff_ms / 1000)
 
     def check_behind(self) -> bool:
         """Abort a dead watch if peers hold newer revisions; return whether it was aborted."""
@@ -207,7 +207,7 @@
             return False
         if self._behind_since_ms is None:
             self._behind_since_ms = now_ms()
-        if now_ms() - self._behind_since_ms < BEHIND_MS + self._gather_ms():
+        if now_ms() - self._behind_since_ms < BEHIND_MS + self._watch_delay_ms():
             return False
         self._behind_since_ms = None
         log.bind(revision=self._copy.revision, peers=self._newest_peer_revision()).info(
--- a/sparline/fleet/_store_watchers.py
+++ b/sparline/fleet/_store_watchers.py
@@ -2,7 +2,7 @@
 
 from sparline._clock import now_ms
 from sparline._hashing import hash64
-from sparline.fleet._members import STORE_WORD_MS, Member, Members
+from sparline.fleet._members import STORE_REPORT_MAX_AGE_MS, Member, Members
 from sparline.schema._gossip import MemberPhase
 
 # Number of instances per availability zone that watch the store. Each watch that ends costs a call,
@@ -11,7 +11,7 @@
 WATCHERS_A_ZONE = 3
 # A member silent for this long no longer counts as a watcher (ms): a new configuration has to take
 # effect everywhere within 5 s, even if the watchers are lost when it is published.
-WATCHER_SILENT_MS = 1_500.0
+WATCHER_TIMEOUT_MS = 1_500.0
 
 
 def watches_store(members: Members) -> bool:
@@ -26,8 +26,8 @@
     now = now_ms()
     if member.note.availability_zone != zone or member.note.phase is not MemberPhase.live:
         return False
-    if now - member.heard_at_ms > WATCHER_SILENT_MS:
+    if now - member.heard_at_ms > WATCHER_TIMEOUT_MS:
         return False
     # An instance that the store rejects, or that does not watch it, reports the store as unreached.
     # All other instances of the zone then watch until their own reports reach each other.
-    return member.store_reached or now - member.told_at_ms > STORE_WORD_MS
+    return member.store_reached or now - member.told_at_ms > STORE_REPORT_MAX_AGE_MS
--- a/sparline/fleet/tests/quota_replay.py
+++ b/sparline/fleet/tests/quota_replay.py
@@ -12,7 +12,7 @@
 
 REGIONS = ("east", "north", "west")
 BOUNDS = QuotaBounds(window_s=8.0, excess=0.25, slack=190_000.0)
-NAME = "ore"
+ORGANISATION = "ore"
 # Tokens per request: one request in ten is long.
 SHORT_TOKENS, LONG_TOKENS, LONG_SHARE = 450.0, 17_000.0, 0.1
 MEAN_TOKENS = SHORT_TOKENS + LONG_SHARE * (LONG_TOKENS - SHORT_TOKENS)
@@ -28,26 +28,26 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class ReplayResult:
     """Hold the results of a replay."""
 
     most_in_window: float = 0.0  # maximum number of tokens admitted in any window
     allowed_in_window: float = 0.0  # maximum number of tokens that operators accept in a window
     owed: float = 0.0  # tokens that a single shared token bucket would have admitted
-    refused_owed: float = 0.0  # owed tokens that were rejected
+    rejected_owed: float = 0.0  # owed tokens that were rejected
     asked: float = 0.0
     admitted: float = 0.0
-    bytes_a_s: float = 0.0  # quota datagrams per instance
+    bytes_per_s: float = 0.0  # quota datagrams per instance
 
     @property
-    def lost_share(self) -> float:
-        return self.refused_owed / max(self.owed, 1.0)
+    def rejected_share(self) -> float:
+        return self.rejected_owed / max(self.owed, 1.0)
 
 
 def quota_of(per_s: float, burst: float | None = None) -> Organisation:
     """Return an organisation with a quota in tokens."""
     quota = Quota(QuotaUnit.TOKENS, per_s, per_s if burst is None else burst, 200.0)
-    return Organisation(OrganisationId(NAME), frozenset(), None, frozenset(), quota)
+    return Organisation(OrganisationId(ORGANISATION), frozenset(), None, frozenset(), quota)
 
 
 @dataclass(slots=True)
@@ -59,15 +59,15 @@
     per_s: float = 50_000.0
     costs: Callable[[random.Random], float] | None = None  # tokens per request
     at: Callable[[float], None] = lambda _ms: None  # called in every step
-    seen: Seen = field(default_factory=Seen)
+    result: ReplayResult = field(default_factory=ReplayResult)
     _window: deque = field(default_factory=deque)
     _in_window: float = 0.0
     _level: float = 0.0
 
-    def run(self, length_ms: float) -> Seen:
+    def run(self, length_ms: float) -> ReplayResult:
         """Replay the pattern."""
         chance = random.Random(7)
-        organisation = self.fleet.organisations[NAME]
+        organisation = self.fleet.organisations[ORGANISATION]
         self._level = organisation.quota.burst
         due = 0.0
         began_ms = self.fleet.now_ms
@@ -75,7 +75,7 @@
         while (past_ms := self.fleet.now_ms - began_ms) < length_ms:
             self.at(past_ms)
             now = self.demand(past_ms)
-            quota = self.fleet.organisations[NAME].quota
+            quota = self.fleet.organisations[ORGANISATION].quota
             self._refill(quota)
             due += now.factor * self.per_s * STEP_MS / 1000
             while due > 0:
@@ -85,8 +85,8 @@
             self.fleet.step()
         instances = max(len(self.fleet.instances), 1)
         told = self.fleet.quota_bytes - bytes_before
-        self.seen.bytes_a_s = told / instances / (length_ms / 1000)
-        return self.seen
+        self.result.bytes_per_s = told / instances / (length_ms / 1000)
+        return self.result
 
     def _refill(self, quota: Quota) -> None:
         """Advance the reference bucket and the sliding window by one step."""
@@ -103,15 +103,15 @@
         owed = self._level > 0
         if owed:
             self._level -= cost
-            self.seen.owed += cost
-        self.seen.asked += cost
-        if self.fleet.ask(chance.choice(ips), NAME, cost) is not None:
-            self.seen.refused_owed += cost if owed else 0.0
+            self.result.owed += cost
+        self.result.asked += cost
+        if self.fleet.ask(chance.choice(ips), ORGANISATION, cost) is not None:
+            self.result.rejected_owed += cost if owed else 0.0
             return
-        self.seen.admitted += cost
+        self.result.admitted += cost
         self._window.append((self.fleet.now_ms, cost))
         self._in_window += cost
-        self.seen.most_in_window = max(self.seen.most_in_window, self._in_window)
+        self.result.most_in_window = max(self.result.most_in_window, self._in_window)
 
 
 def _cost(chance: random.Random) -> float:
@@ -129,7 +129,7 @@
     chance = random.Random(instances)
     fleet = FakeFleet(chance, ["1.east.0.1", "1.north.0.1", "1.west.0.1"], quota_bounds=BOUNDS)
     fleet.install(monkeypatch)
-    fleet.organisations[NAME] = quota_of(per_s)
+    fleet.organisations[ORGANISATION] = quota_of(per_s)
     for ip in addresses(instances):
         fleet.start(ip, ip.split(".")[1], chance.uniform(0, 300))
     fleet.pass_ms(SETTLE_MS)
--- a/sparline/fleet/tests/test_crash_exchange.py
+++ b/sparline/fleet/tests/test_crash_exchange.py
@@ -9,12 +9,12 @@
 from sparline.schema._gossip import CrashNews
 from sparline.tests.fake_fleet import FAR_MS, FakeFleet, region_of
 
-ONE = RequestDigest(b"1" * 16)
+DIGEST = RequestDigest(b"1" * 16)
 # Time within which every connected instance has to know of the third crash (ms): the shortest time
 # that an operator may configure.
-CONTACT_MS = 5_000.0
+PROPAGATION_LIMIT_MS = 5_000.0
 # Factor by which a datagram may exceed the normal transit time.
-LATE = 1.5
+LATENCY_FACTOR = 1.5
 SIZES = [("small", 3, 3), ("middle", 26, 3), ("large", 65, 3), ("many regions", 4, 12)]
 
 
@@ -33,18 +33,18 @@
 def count_sent(monkeypatch) -> list[tuple[str, str, bytes]]:
     """Return a list that collects each datagram sent: sender, receiver, content."""
     sent: list[tuple[str, str, bytes]] = []
-    carry = FakeFleet.send
+    original_send = FakeFleet.send
 
     def send(fleet: FakeFleet, sender: str, receiver: str, data: bytes) -> None:
         sent.append((sender, receiver, data))
-        carry(fleet, sender, receiver, data)
+        original_send(fleet, sender, receiver, data)
 
     monkeypatch.setattr(FakeFleet, "send", send)
     return sent
 
 
 def verdicts(fleet: FakeFleet) -> list[Verdict]:
-    return [one.crashes.verdict(ONE) for one in fleet.instances.values()]
+    return [one.crashes.verdict(DIGEST) for one in fleet.instances.values()]
 
 
 @pytest.mark.parametrize(
@@ -54,8 +54,8 @@
     fleet = fleet_of(monkeypatch, instances, regions)
     crashes = fleet.instances["10.2.0.2"].crashes
     for server in ("a", "b", "c"):
-        crashes.note_end(ONE, server)
-    fleet.pass_ms(LATE * FAR_MS + 20)
+        crashes.note_end(DIGEST, server)
+    fleet.pass_ms(LATENCY_FACTOR * FAR_MS + 20)
     assert set(verdicts(fleet)) == {Verdict.QUARANTINED}
 
 
@@ -66,8 +66,8 @@
 def test_crashes_seen_by_instances_in_three_regions_add_up(monkeypatch, instances, regions, lossy):
     fleet = fleet_of(monkeypatch, instances, regions, lossy)
     for region, server in ((1, "a"), (2, "b"), (3, "c")):
-        fleet.instances[f"10.{region}.0.2"].crashes.note_end(ONE, server)
-    fleet.pass_ms(CONTACT_MS)
+        fleet.instances[f"10.{region}.0.2"].crashes.note_end(DIGEST, server)
+    fleet.pass_ms(PROPAGATION_LIMIT_MS)
     assert set(verdicts(fleet)) == {Verdict.QUARANTINED}
 
 
@@ -75,11 +75,11 @@
 def test_newly_started_instance_learns_of_suspects(monkeypatch, lossy):
     fleet = fleet_of(monkeypatch, 5, 3, lossy)
     for server in ("a", "b", "c"):
-        fleet.instances["10.1.0.2"].crashes.note_end(ONE, server)
+        fleet.instances["10.1.0.2"].crashes.note_end(DIGEST, server)
     fleet.pass_ms(60_000)
     fleet.start("10.3.0.99", "3")
     fleet.pass_ms(1_000)
-    assert fleet.instances["10.3.0.99"].crashes.verdict(ONE) is Verdict.QUARANTINED
+    assert fleet.instances["10.3.0.99"].crashes.verdict(DIGEST) is Verdict.QUARANTINED
 
 
 @pytest.mark.parametrize("lossy", [0.0, 0.2])
@@ -91,7 +91,7 @@
         crashes = fleet.instances[f"10.1.0.{number % 26 + 1}"].crashes
         for server in ("a", "b", "c"):
             crashes.note_end(digest, server)
-    fleet.pass_ms(CONTACT_MS)
+    fleet.pass_ms(PROPAGATION_LIMIT_MS)
     for one in fleet.instances.values():
         assert {one.crashes.verdict(digest) for digest in digests} == {Verdict.QUARANTINED}
 
@@ -99,16 +99,16 @@
 def test_cleared_suspect_is_known_everywhere(monkeypatch):
     fleet = fleet_of(monkeypatch, 5, 3)
     for server in ("a", "b"):
-        fleet.instances["10.1.0.2"].crashes.note_end(ONE, server)
+        fleet.instances["10.1.0.2"].crashes.note_end(DIGEST, server)
     fleet.pass_ms(500)
-    fleet.instances["10.3.0.2"].crashes.note_whole(ONE)
-    fleet.pass_ms(LATE * FAR_MS + 20)
+    fleet.instances["10.3.0.2"].crashes.note_whole(DIGEST)
+    fleet.pass_ms(LATENCY_FACTOR * FAR_MS + 20)
     assert set(verdicts(fleet)) == {Verdict.CLEAR}
 
 
 # Which instances are partitioned off, and for how long (ms): rounds repeat a report on a suspect
 # for 12 s.
-AWAY = [
+PARTITIONS = [
     ("a region, briefly", lambda ip: region_of(ip) == "3", 2_000.0),
     ("a region, for a long time", lambda ip: region_of(ip) == "3", 30_000.0),
     ("one instance, like a suspended process", lambda ip: ip == "10.3.0.2", 30_000.0),
@@ -116,18 +116,20 @@
 
 
 @pytest.mark.parametrize(
-    ("is_away", "away_ms"), [row[1:] for row in AWAY], ids=[row[0] for row in AWAY]
+    ("is_isolated", "isolated_ms"),
+    [row[1:] for row in PARTITIONS],
+    ids=[row[0] for row in PARTITIONS],
 )
 @pytest.mark.parametrize("instances", [3, 26])
-def test_instances_catch_up_after_a_partition(monkeypatch, instances, is_away, away_ms):
+def test_instances_catch_up_after_a_partition(monkeypatch, instances, is_isolated, isolated_ms):
     fleet = fleet_of(monkeypatch, instances, 3)
-    fleet.far_side = frozenset(ip for ip in fleet.instances if is_away(ip))
+    fleet.far_side = frozenset(ip for ip in fleet.instances if is_isolated(ip))
     for server in ("a", "b", "c"):
-        fleet.instances["10.1.0.2"].crashes.note_end(ONE, server)
-    fleet.pass_ms(away_ms)
+        fleet.instances["10.1.0.2"].crashes.note_end(DIGEST, server)
+    fleet.pass_ms(isolated_ms)
     assert set(verdicts(fleet)) == {Verdict.QUARANTINED, Verdict.CLEAR}
     fleet.far_side = frozenset()
-    fleet.pass_ms(CONTACT_MS)
+    fleet.pass_ms(PROPAGATION_LIMIT_MS)
     assert set(verdicts(fleet)) == {Verdict.QUARANTINED}
 
 
@@ -135,15 +137,15 @@
     fleet = fleet_of(monkeypatch, 26, 3)
     sent = count_sent(monkeypatch)
     for server in ("a", "b", "c"):
-        fleet.instances["10.1.0.2"].crashes.note_end(ONE, server)
-    told_at_once = [
+        fleet.instances["10.1.0.2"].crashes.note_end(DIGEST, server)
+    immediate_reports = [
         data
         for sender, receiver, data in sent
         if region_of(sender) != region_of(receiver) and b"CrashNews" in data
     ]
     # The second and the third crash are each reported to two instances in each of two regions.
-    assert len(told_at_once) == 2 * _gossip.TELLERS * 2
-    assert max(map(len, told_at_once)) < 100
+    assert len(immediate_reports) == 2 * _gossip.REPRESENTATIVES_PER_REGION * 2
+    assert max(map(len, immediate_reports)) < 100
 
 
 def test_crash_of_many_servers_causes_little_traffic(monkeypatch):
@@ -169,7 +171,7 @@
     at_once = [one for one in told if one is not None]
     assert 0 < len(at_once) < 20
     # The remaining reports are sent in rounds.
-    assert len(exchange.notes_for(True, False)) == _crash_exchange.MOST_TOLD
+    assert len(exchange.notes_for(True, False)) == _crash_exchange.MAX_REPORTS
 
 
 def test_empty_crash_table_adds_no_notes():
--- a/sparline/fleet/tests/test_gossip.py
+++ b/sparline/fleet/tests/test_gossip.py
@@ -57,7 +57,7 @@
     one.close()
 
 
-def asked(port: GossipPort) -> set[str]:
+def queried(port: GossipPort) -> set[str]:
     return {ip for peers, message in port.sent if message.wants_members for ip in peers}
 
 
@@ -68,7 +68,7 @@
     for _ in range(3):
         port.sent.clear()
         port.round()
-        assert asked(port) == {"127.0.3.2", "127.0.3.3"}
+        assert queried(port) == {"127.0.3.2", "127.0.3.3"}
 
 
 def test_running_instance_probes_missing_peers_periodically(port):
--- a/sparline/fleet/tests/test_load_board.py
+++ b/sparline/fleet/tests/test_load_board.py
@@ -31,9 +31,9 @@
             change = LoadOf(sign, sign * chance.randrange(500), sign * chance.randrange(50))
             board.note_change(SERVER, change)
             changes.append((now[0], change))
-        if reading is None or reading.at_ms < now[0] - _load_board.LOAD_MS:
+        if reading is None or reading.at_ms < now[0] - _load_board.LOAD_MAX_AGE_MS:
             continue
-        since = max(now[0] - _load_board.LOAD_MS, reading.covers_until_ms)
+        since = max(now[0] - _load_board.LOAD_MAX_AGE_MS, reading.covers_until_ms)
         board.forget_old()
         counted = [load for at_ms, load in changes if at_ms > since]
         assert board.load(SERVER) == sum_loads((reading.load, *counted))
--- a/sparline/fleet/tests/test_load_exchange.py
+++ b/sparline/fleet/tests/test_load_exchange.py
@@ -17,7 +17,7 @@
 )
 from sparline.fleet._load_shares import Aggregators
 from sparline.fleet._loads import write_load
-from sparline.fleet._news_allowance import MOST_SAVED
+from sparline.fleet._news_allowance import BURST_SIZE
 from sparline.schema._gossip import (
     Gossip,
     LoadNews,
@@ -68,7 +68,7 @@
         )
         self.loads.round()
         aggregators = Aggregators()
-        aggregators.use(tuple(sorted([OWN, *SIBLINGS])))
+        aggregators.set_candidates(tuple(sorted([OWN, *SIBLINGS])))
         named = {one: aggregators.of(one) for one in servers}
         self.mine = next(one for one, ips in named.items() if ips[0] == OWN)
         self.second = next(one for one, ips in named.items() if ips[1] == OWN)
@@ -86,7 +86,7 @@
                 self.hear(ip)
             self.loads.round()
 
-    def told(self, server: str) -> LoadOf | None:
+    def known_load(self, server: str) -> LoadOf | None:
         return self.loads.board.load(server)
 
 
@@ -108,7 +108,7 @@
 
 
 LONG, SHORT = LoadOf(1, 10_000, 9_000), LoadOf(1, 400, 300)
-TOLD_AT_ONCE = [
+IMMEDIATE_MESSAGES = [
     # change, same region, share datagrams to the aggregators, broadcasts to all siblings
     ("a long prompt", LONG, True, 1, 1),
     ("a long prompt after prefill", LoadOf(0, 0, -9_000), True, 1, 1),
@@ -122,8 +122,8 @@
 
 @pytest.mark.parametrize(
     ("change", "near", "to_aggregator", "to_all"),
-    [row[1:] for row in TOLD_AT_ONCE],
-    ids=[row[0] for row in TOLD_AT_ONCE],
+    [row[1:] for row in IMMEDIATE_MESSAGES],
+    ids=[row[0] for row in IMMEDIATE_MESSAGES],
 )
 def test_which_changes_are_sent_immediately(one, change, near, to_aggregator, to_all):
     sent = one.loads.note_change(one.others, change, None, near)
@@ -140,7 +140,7 @@
         sent = [one.loads.note_change(one.others, change, None, True) for _ in range(50)]
         return sum(isinstance(each.message, LoadNews) for some in sent for each in some)
 
-    assert told() == MOST_SAVED
+    assert told() == BURST_SIZE
     clock.now += 100
     # Four instances share the rate of 100 broadcasts per second.
     assert told() == 100 * 0.1 / 4 // 1
@@ -157,7 +157,7 @@
     assert one.shown == [(one.others, 0.75)]
 
 
-SUMS = [
+SHARE_SUMS = [
     ("two", [("a", 1, LoadOf(2, 200, 20)), ("b", 1, LoadOf(3, 300, 30))], LoadOf(6, 510, 55)),
     ("resent", [("a", 1, LoadOf(2, 200, 20)), ("a", 2, LoadOf(1, 100, 10))], LoadOf(2, 110, 15)),
     ("reordered", [("a", 2, LoadOf(2, 200, 20)), ("a", 1, LoadOf(9, 900, 90))], LoadOf(3, 210, 25)),
@@ -165,7 +165,9 @@
 ]
 
 
-@pytest.mark.parametrize(("told", "total"), [row[1:] for row in SUMS], ids=[row[0] for row in SUMS])
+@pytest.mark.parametrize(
+    ("told", "total"), [row[1:] for row in SHARE_SUMS], ids=[row[0] for row in SHARE_SUMS]
+)
 def test_aggregator_sums_the_newest_shares_and_its_own(one, clock, told, total):
     one.own_loads[one.mine] = LoadOf(1, 10, 5)
     for ip, sequence, load in told:
@@ -174,7 +176,7 @@
     for ip, sequence, load in told:
         one.loads.take_shares(shares(one.mine, load, ip, sequence))
     one.pass_ms(clock, 250)
-    assert one.told(one.mine) == total
+    assert one.known_load(one.mine) == total
 
 
 def test_sequence_numbers_restart_with_a_siblings_incarnation(one, clock):
@@ -185,50 +187,50 @@
 
 def test_share_expires_if_not_sent_again(one, clock):
     one.loads.take_shares(shares(one.mine, LoadOf(2, 200, 20)))
-    clock.now += _load_shares.SHARE_MS + 1
+    clock.now += _load_shares.SHARE_LIFETIME_MS + 1
     assert one.loads._shares.sum(one.mine).load == LoadOf()
 
 
-READ = LoadOf(5, 500, 50)
+READING = LoadOf(5, 500, 50)
 
 
-def read(
-    one: Exchange, server: str, age_ms: int, load: LoadOf = READ, doubted: bool = False
+def receive_reading(
+    one: Exchange, server: str, age_ms: int, load: LoadOf = READING, doubted: bool = False
 ) -> None:
     one.loads.take_readings([LoadReadingNote(age_ms, write_load(server, load), doubted)])
 
 
 def test_newest_reading_is_kept_whatever_the_order_of_arrival(one):
-    read(one, one.others, 300)
-    read(one, one.others, 800, LoadOf(9, 900, 90))
-    assert one.told(one.others) == READ
-    read(one, one.others, 100, LoadOf(4, 400, 40))
-    assert one.told(one.others) == LoadOf(4, 400, 40)
+    receive_reading(one, one.others, 300)
+    receive_reading(one, one.others, 800, LoadOf(9, 900, 90))
+    assert one.known_load(one.others) == READING
+    receive_reading(one, one.others, 100, LoadOf(4, 400, 40))
+    assert one.known_load(one.others) == LoadOf(4, 400, 40)
 
 
 def test_changes_after_a_reading_are_added_to_it(one, clock):
     one.loads.note_change(one.others, LoadOf(1, 100, 10), None, True)
     clock.now += 500
-    read(one, one.others, 200)
-    assert one.told(one.others) == READ
+    receive_reading(one, one.others, 200)
+    assert one.known_load(one.others) == READING
     one.loads.take_news(LoadNews(write_load(one.others, LoadOf(1, 0, 2_000))))
     one.loads.note_change(one.others, LoadOf(-1, -100, 0), None, True)
-    assert one.told(one.others) == LoadOf(5, 400, 2_050)
-    read(one, one.others, 100)
-    assert one.told(one.others) == LoadOf(5, 400, 2_050)
+    assert one.known_load(one.others) == LoadOf(5, 400, 2_050)
+    receive_reading(one, one.others, 100)
+    assert one.known_load(one.others) == LoadOf(5, 400, 2_050)
     clock.now += 50
-    read(one, one.others, 0)
-    assert one.told(one.others) == READ
+    receive_reading(one, one.others, 0)
+    assert one.known_load(one.others) == READING
 
 
-AGES = [(3_900, READ), (4_100, None)]
+AGES = [(3_900, READING), (4_100, None)]
 
 
 @pytest.mark.parametrize(("age_ms", "told"), AGES)
 def test_reading_expires(one, clock, age_ms, told):
-    read(one, one.others, 0)
+    receive_reading(one, one.others, 0)
     clock.now += age_ms
-    assert one.told(one.others) == told
+    assert one.known_load(one.others) == told
 
 
 DOUBTS = [
@@ -244,7 +246,7 @@
     ids=[row[0] for row in DOUBTS],
 )
 def test_server_is_doubted_if_its_newest_reading_says_so(one, clock, doubted, later_ms, is_doubted):
-    read(one, one.others, 0, doubted=doubted)
+    receive_reading(one, one.others, 0, doubted=doubted)
     clock.now += later_ms
     assert one.loads.board.is_doubted(one.others) is is_doubted
 
@@ -269,53 +271,53 @@
     one = Exchange(siblings=())
     assert one.loads.readings_for(True) == []
     one.siblings = SIBLINGS
-    read(one, one.mine, 0)
+    receive_reading(one, one.mine, 0)
     one.pass_ms(clock, 1_000)
-    assert one.told(one.mine) == READ
+    assert one.known_load(one.mine) == READING
     one.pass_ms(clock, 500)
-    assert one.told(one.mine) == LoadOf()
+    assert one.known_load(one.mine) == LoadOf()
 
 
 def test_single_instance_publishes_loads_after_a_delay(clock):
     one = Exchange(siblings=())
     one.pass_ms(clock, 1_500)
-    assert one.told(one.mine) == LoadOf()
+    assert one.known_load(one.mine) == LoadOf()
 
 
 def test_instances_that_start_together_publish_loads_immediately(one):
-    assert one.told(one.mine) == LoadOf()
+    assert one.known_load(one.mine) == LoadOf()
 
 
 def test_new_aggregator_keeps_the_existing_reading_at_first(one, clock):
-    one.loads._since_ms.clear()
-    one.loads.board.take(one.mine, LoadReading(clock.now + 1, clock.now + 1, READ, False))
+    one.loads._aggregator_since_ms.clear()
+    one.loads.board.take(one.mine, LoadReading(clock.now + 1, clock.now + 1, READING, False))
     one.pass_ms(clock, 1_000)
-    assert one.told(one.mine) == READ
+    assert one.known_load(one.mine) == READING
     one.pass_ms(clock, 750)
-    assert one.told(one.mine) == LoadOf()
+    assert one.known_load(one.mine) == LoadOf()
 
 
 def test_broadcast_change_counts_before_any_reading(one):
     one.loads.take_news(LoadNews(write_load(one.others, LONG)))
-    assert one.told(one.others) == LONG
+    assert one.known_load(one.others) == LONG
 
 
 def test_second_aggregator_takes_over_from_a_silent_first(one, clock):
     one.loads.take_shares(shares(one.second, LoadOf(2, 200, 20)))
     clock.now += 1
-    read(one, one.second, 0)
+    receive_reading(one, one.second, 0)
     one.pass_ms(clock, 500)
-    assert one.told(one.second) == READ
+    assert one.known_load(one.second) == READING
     one.loads.take_shares(shares(one.second, LoadOf(2, 200, 20), sequence=2))
     one.pass_ms(clock, 1_000)
-    assert one.told(one.second) == LoadOf(2, 200, 20)
+    assert one.known_load(one.second) == LoadOf(2, 200, 20)
 
 
 def test_shares_and_doubts_are_resent_to_both_aggregators(one, clock):
     one.own_loads[one.others] = SHORT
     one.doubted.append(one.mine)
     told: dict[str, set[str]] = {}
-    for _ in range(_load_exchange.SHARES_AGAIN_ROUNDS):
+    for _ in range(_load_exchange.SHARE_REFRESH_ROUNDS):
         for each in one.loads.round():
             names = {note.load.backend_server for note in each.message.shares}
             told.setdefault(each.peers[0], set()).update(names)
@@ -325,8 +327,8 @@
 
 
 def test_only_readings_of_the_own_region_are_sent_to_other_regions(one, clock):
-    read(one, one.others, 0)
-    read(one, "far", 0)
+    receive_reading(one, one.others, 0)
+    receive_reading(one, "far", 0)
     names = {
         near: {note.load.backend_server for note in one.loads.readings_for(near)}
         for near in (True, False)
@@ -344,15 +346,15 @@
     held: set[str] = set()
     for _ in range(60):
         held.symmetric_difference_update(chance.sample(ips, 3))
-        grown.use(tuple(sorted(held)))
+        grown.set_candidates(tuple(sorted(held)))
         fresh = Aggregators()
-        fresh.use(tuple(sorted(held)))
+        fresh.set_candidates(tuple(sorted(held)))
         assert [grown.of(one) for one in servers] == [fresh.of(one) for one in servers]
 
 
 # Requests running at a server, the sender's estimate of them, and whether it is corrected
 # immediately.
-BELIEFS = [
+ESTIMATES = [
     ("correct", 12, 12, False),
     ("slightly off", 12, 9, False),
     ("far too few", 12, 4, True),
@@ -364,7 +366,9 @@
 
 
 @pytest.mark.parametrize(
-    ("running", "believed", "told"), [row[1:] for row in BELIEFS], ids=[row[0] for row in BELIEFS]
+    ("running", "believed", "told"),
+    [row[1:] for row in ESTIMATES],
+    ids=[row[0] for row in ESTIMATES],
 )
 def test_wrong_load_estimate_is_corrected_immediately(one, clock, running, believed, told):
     one.pass_ms(clock, 2_000)
@@ -380,7 +384,7 @@
     clock.now += 20
     word = LoadWord(LoadReadingNote(0, write_load(one.others, LoadOf(14, 9_000, 700)), False))
     one.loads.take_readings([word.reading])
-    assert one.told(one.others) == LoadOf(14, 9_000, 700)
+    assert one.known_load(one.others) == LoadOf(14, 9_000, 700)
 
 
 def test_only_the_established_first_aggregator_sends_corrections(one, clock):
--- a/sparline/fleet/tests/test_members.py
+++ b/sparline/fleet/tests/test_members.py
@@ -43,7 +43,7 @@
     return {one.note.ip for one in found}
 
 
-HEARD = [
+RECEIVED = [
     ("live", [gossip(note("a"))], {"a"}),
     ("starting", [gossip(note("a", phase=MemberPhase.starting))], set()),
     ("leaving after live", [gossip(note("a")), gossip(note("a", counter=11, phase=MemberPhase.leaving))], set()),
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    ("datagrams", "live"), [row[1:] for row in HEARD], ids=[row[0] for row in HEARD]
+    ("datagrams", "live"), [row[1:] for row in RECEIVED], ids=[row[0] for row in RECEIVED]
 )
 def test_live_members(members, datagrams, live):
     for datagram in datagrams:
@@ -71,7 +71,7 @@
     assert members.strangers == [member_key("c")]
 
 
-SILENCE = [
+TIMEOUTS = [
     # silence (ms), region, number of known instances, still live, still shares limits
     (2_900, "north", 1, True, True),
     (3_100, "north", 1, False, True),
@@ -82,7 +82,7 @@
 ]
 
 
-@pytest.mark.parametrize(("silence_ms", "region", "others", "live", "shares"), SILENCE)
+@pytest.mark.parametrize(("silence_ms", "region", "others", "live", "shares"), TIMEOUTS)
 def test_silent_member_times_out(members, clock, silence_ms, region, others, live, shares):
     for number in range(others - 1):
         members.take(gossip(note(f"x{number}", "west")))
@@ -93,7 +93,7 @@
     assert "own" in members.sharers()
 
 
-STORE_WORDS = [
+STORE_REPORTS = [
     # whether a member reached the store, time since it reported so (ms), whether the store counts
     # as reached
     (True, 0, True),
@@ -103,7 +103,7 @@
 ]
 
 
-@pytest.mark.parametrize(("reached", "ago_ms", "is_reached"), STORE_WORDS)
+@pytest.mark.parametrize(("reached", "ago_ms", "is_reached"), STORE_REPORTS)
 def test_members_store_report_expires(members, clock, reached, ago_ms, is_reached):
     # A relayed heartbeat of the member carries no information about the store.
     members.take(gossip(note("a"), store_reached=reached))
--- a/sparline/fleet/tests/test_quotas.py
+++ b/sparline/fleet/tests/test_quotas.py
@@ -6,11 +6,11 @@
 
 from sparline._hashing import hash64
 from sparline.fleet.tests.quota_replay import (
-    NAME,
+    ORGANISATION,
     REGIONS,
     Demand,
     Replay,
-    Seen,
+    ReplayResult,
     allowed,
     make_fleet,
     quota_of,
@@ -18,17 +18,17 @@
 from sparline.tests.fake_fleet import FakeFleet
 
 # Maximum fraction of owed tokens that may be rejected, with steady and with moving load.
-LOST_STEADY = 0.005
-LOST_MOVING = 0.02
+MAX_REJECTED_STEADY = 0.005
+MAX_REJECTED_MOVING = 0.02
 # Maximum rate at which an instance sends datagrams for an organisation at its quota limit
 # (bytes/s).
-MOST_BYTES_A_S = 2_000
+MAX_BYTES_PER_S = 2_000
 SMALL, LARGE = 50_000.0, 540_000.0
 # Number of instances, and quota in tokens per second.
 FLEETS = [(6, SMALL), (6, LARGE), (24, SMALL), (24, LARGE), (74, LARGE)]
 USUAL = Demand(0.55)
 # 7.5 times the usual load.
-HOT = Demand(4.1)
+OVERLOAD = Demand(4.1)
 IN_TURN = ((1.0, 0.0, 0.0), (0.0, 1.0, 0.0), (0.0, 0.0, 1.0))
 
 
@@ -37,7 +37,7 @@
     return lambda ms: Demand(factor, IN_TURN[int(ms // 6_000) % 3])
 
 
-def hot_between(began_ms: float, ended_ms: float, demand: Demand) -> Callable[[float], Demand]:
+def overload_between(began_ms: float, ended_ms: float, demand: Demand) -> Callable[[float], Demand]:
     return lambda ms: demand if began_ms <= ms < ended_ms else USUAL
 
 
@@ -57,7 +57,7 @@
         fleet.start(ip, region, 2_000 + fleet.chance.uniform(0, 300))
 
 
-def lose_holders(fleet: FakeFleet, ms: float) -> None:
+def stop_holders(fleet: FakeFleet, ms: float) -> None:
     """Stop the account holders of all regions at once."""
     if ms != 8_000:
         return
@@ -66,11 +66,13 @@
         fleet.lose(max(ips, key=lambda ip: hash64(f"quota/{ip}")))
 
 
-def nothing(_fleet: FakeFleet, _ms: float) -> None:
+def no_fault(_fleet: FakeFleet, _ms: float) -> None:
     pass
 
 
-def replay(monkeypatch, instances: int, per_s: float, demand, at=nothing, lossy=0.0) -> Seen:
+def replay(
+    monkeypatch, instances: int, per_s: float, demand, at=no_fault, lossy=0.0
+) -> ReplayResult:
     fleet = make_fleet(monkeypatch, instances, per_s, lossy)
     run = Replay(fleet, demand, per_s=per_s, at=lambda ms: at(fleet, ms))
     return run.run(16_000)
@@ -78,11 +80,11 @@
 
 OWED = [
     # load, fault, fraction of datagrams lost, maximum fraction of owed tokens that may be rejected
-    ("half the quota", lambda _ms: Demand(0.5), nothing, 0.0, LOST_STEADY),
-    ("nearly the whole quota", lambda _ms: Demand(0.95), nothing, 0.0, LOST_STEADY),
-    ("moving between regions", in_turn(0.8), nothing, 0.0, LOST_MOVING),
-    ("a region is cut off", lambda _ms: USUAL, cut_east, 0.0, LOST_MOVING),
-    ("all restart", lambda _ms: USUAL, restart_all, 0.0, LOST_MOVING),
+    ("half the quota", lambda _ms: Demand(0.5), no_fault, 0.0, MAX_REJECTED_STEADY),
+    ("nearly the whole quota", lambda _ms: Demand(0.95), no_fault, 0.0, MAX_REJECTED_STEADY),
+    ("moving between regions", in_turn(0.8), no_fault, 0.0, MAX_REJECTED_MOVING),
+    ("a region is cut off", lambda _ms: USUAL, cut_east, 0.0, MAX_REJECTED_MOVING),
+    ("all restart", lambda _ms: USUAL, restart_all, 0.0, MAX_REJECTED_MOVING),
 ]
 
 
@@ -91,19 +93,19 @@
     ("demand", "at", "lossy", "lost"), [row[1:] for row in OWED], ids=[row[0] for row in OWED]
 )
 def test_load_below_the_quota_is_admitted(monkeypatch, demand, at, lossy, lost, instances, per_s):
-    seen = replay(monkeypatch, instances, per_s, demand, at, lossy)
-    assert seen.lost_share <= lost
-    assert seen.most_in_window <= allowed(per_s)
+    result = replay(monkeypatch, instances, per_s, demand, at, lossy)
+    assert result.rejected_share <= lost
+    assert result.most_in_window <= allowed(per_s)
 
 
 OVER = [
-    ("one region at 7.5 times its usual load", hot_between(3_000, 9_500, Demand(4.1, IN_TURN[0])), nothing, 0.0),
-    ("all regions at 7.5 times their usual load", hot_between(3_000, 13_500, HOT), nothing, 0.0),
-    ("moving between regions", in_turn(4.1), nothing, 0.0),
-    ("a region is cut off as the overload begins", hot_between(3_000, 16_000, HOT), cut_east, 0.0),
-    ("all restart during the overload", lambda _ms: HOT, restart_all, 0.0),
-    ("the account holders are lost", lambda _ms: HOT, lose_holders, 0.0),
-    ("a fifth of the datagrams are lost", lambda _ms: HOT, nothing, 0.2),
+    ("one region at 7.5 times its usual load", overload_between(3_000, 9_500, Demand(4.1, IN_TURN[0])), no_fault, 0.0),
+    ("all regions at 7.5 times their usual load", overload_between(3_000, 13_500, OVERLOAD), no_fault, 0.0),
+    ("moving between regions", in_turn(4.1), no_fault, 0.0),
+    ("a region is cut off as the overload begins", overload_between(3_000, 16_000, OVERLOAD), cut_east, 0.0),
+    ("all restart during the overload", lambda _ms: OVERLOAD, restart_all, 0.0),
+    ("the account holders are lost", lambda _ms: OVERLOAD, stop_holders, 0.0),
+    ("a fifth of the datagrams are lost", lambda _ms: OVERLOAD, no_fault, 0.2),
 ]  # fmt: skip
 
 
@@ -112,10 +114,10 @@
     ("demand", "at", "lossy"), [row[1:] for row in OVER], ids=[row[0] for row in OVER]
 )
 def test_admission_in_any_window_is_bounded(monkeypatch, demand, at, lossy, instances, per_s):
-    seen = replay(monkeypatch, instances, per_s, demand, at, lossy)
-    assert seen.most_in_window <= allowed(per_s)
+    result = replay(monkeypatch, instances, per_s, demand, at, lossy)
+    assert result.most_in_window <= allowed(per_s)
     # The limit must not cost the organisation its quota.
-    assert seen.admitted >= 0.75 * seen.owed
+    assert result.admitted >= 0.75 * result.owed
 
 
 def test_reduced_quota_takes_effect_after_one_window(monkeypatch):
@@ -125,8 +127,8 @@
 
     def at(ms: float) -> None:
         if ms == 4_000:
-            fleet.organisations[NAME] = quota_of(lower)
-        admitted.append((ms, run.seen.admitted))
+            fleet.organisations[ORGANISATION] = quota_of(lower)
+        admitted.append((ms, run.result.admitted))
 
     run = Replay(fleet, lambda _ms: USUAL, per_s=SMALL, at=at)
     run.run(24_000)
@@ -137,8 +139,8 @@
 
 @pytest.mark.parametrize("instances", [24, 74])
 def test_traffic_for_a_quota_at_its_limit_is_bounded(monkeypatch, instances):
-    seen = replay(monkeypatch, instances, LARGE, lambda _ms: HOT)
-    assert seen.bytes_a_s <= MOST_BYTES_A_S
+    result = replay(monkeypatch, instances, LARGE, lambda _ms: OVERLOAD)
+    assert result.bytes_per_s <= MAX_BYTES_PER_S
 
 
 def test_idle_organisation_causes_no_traffic(monkeypatch):
--- a/sparline/fleet/tests/test_store.py
+++ b/sparline/fleet/tests/test_store.py
@@ -98,7 +98,7 @@
 }
 
 
-class Disturbed:
+class LastFault:
     """Stub for the time since the store's last fault."""
 
     ago_ms = 1e9
@@ -110,7 +110,7 @@
 @pytest.fixture
 def state():
     bad: list[int] = []
-    one = FleetState(lambda change: ITEMS[change.value], lambda: bad.append(1), Disturbed(), ZONES)
+    one = FleetState(lambda change: ITEMS[change.value], lambda: bad.append(1), LastFault(), ZONES)
     one.bad = bad
     return one
 
@@ -242,11 +242,11 @@
     newest = [5]
     reader = StoreReader(store, copy_of({}), lambda _call, _result: None, lambda: newest[0])
     assert not reader.check_behind()
-    clock[0] += _store_reader.BEHIND_MS + _store_reader.GATHER_LEAST_MS + 1
+    clock[0] += _store_reader.BEHIND_MS + _store_reader.MIN_WATCH_DELAY_MS + 1
     assert reader.check_behind()
     assert store.calls == ["interrupt"]
     newest[0] = 0
-    clock[0] += _store_reader.BEHIND_MS + _store_reader.GATHER_LEAST_MS + 1
+    clock[0] += _store_reader.BEHIND_MS + _store_reader.MIN_WATCH_DELAY_MS + 1
     assert not reader.check_behind()
 
 
@@ -263,7 +263,7 @@
     assert max(waits) - min(waits) > 2_000
 
 
-GATHERS = [
+WATCH_DELAYS = [
     # number of watchers, time since the last fault (ms), delay after a response (ms)
     (9, 1e9, 400.0),
     (80, 1e9, 1_120.0),
@@ -272,7 +272,7 @@
 ]
 
 
-@pytest.mark.parametrize(("instances", "since_fault_ms", "wait_ms"), GATHERS)
+@pytest.mark.parametrize(("instances", "since_fault_ms", "wait_ms"), WATCH_DELAYS)
 def test_delay_after_a_response_grows_with_the_number_of_watchers(
     monkeypatch, instances, since_fault_ms, wait_ms
 ):
@@ -308,7 +308,7 @@
     one = FleetState(
         lambda change: ITEMS[change.value],
         lambda: None,
-        Disturbed(),
+        LastFault(),
         ZONES,
         lambda server: restarted.append(server.id),
     )
--- a/sparline/fleet/tests/test_store_watchers.py
+++ b/sparline/fleet/tests/test_store_watchers.py
@@ -63,7 +63,7 @@
 def test_lost_watchers_are_replaced_before_they_count_as_silent(zone, clock):
     lost = zone.watching()
     others = [ip for ip in zone.ips if ip not in lost]
-    clock.now += _store_watchers.WATCHER_SILENT_MS + 1
+    clock.now += _store_watchers.WATCHER_TIMEOUT_MS + 1
     zone.hear(others)
     watching = {ip for ip in others if watches_store(zone.members[ip])}
     assert len(watching) == WATCHERS_A_ZONE
