--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -157,24 +157,24 @@
         self._crashes.take(gossip.crashes)
         self._reply(gossip, is_new)
 
-    def _handle_crash_news(self, told: CrashNews) -> None:
-        news = self._crashes.take(told.crashes)
-        if news and told.pass_on:
+    def _handle_crash_news(self, message: CrashNews) -> None:
+        news = self._crashes.take(message.crashes)
+        if news and message.pass_on:
             self._broadcast_to_siblings(CrashNews(news, pass_on=False))
 
     def _reply(self, gossip: Gossip, is_new: bool) -> None:
         if is_new:
             log.bind(peer=gossip.sender.name, phase=gossip.sender.phase.value).info("member_heard")
-        near = gossip.sender.region == self._members.own.region
+        same_region = gossip.sender.region == self._members.own.region
         if gossip.wants_members:
             sample = self._sample_members(gossip.sender.region)
-            self._send([gossip.sender.ip], self._gossip_message(near, sample, is_new=True))
-        elif is_new and near:
+            self._send([gossip.sender.ip], self._gossip_message(same_region, sample, is_new=True))
+        elif is_new and same_region:
             # Instances of other regions learn of this one from the region's representatives.
             self._greet([gossip.sender.ip])
         elif gossip.wanted:
             described = self._members.described(gossip.wanted[:MAX_DESCRIBED_MEMBERS])
-            self._send([gossip.sender.ip], self._gossip_message(near, described))
+            self._send([gossip.sender.ip], self._gossip_message(same_region, described))
         if self._members.new_siblings:
             # With the round-robin rounds alone, some siblings would not know a new instance for a
             # second or two, and would divide shared limits without it.
@@ -182,13 +182,13 @@
         wanted = self._not_yet_requested(self._members.strangers)
         if wanted:
             # The sender relayed their heartbeats, so it can describe them.
-            self._send([gossip.sender.ip], self._gossip_message(near, wanted=wanted))
+            self._send([gossip.sender.ip], self._gossip_message(same_region, wanted=wanted))
 
     def _greet(self, siblings: list[str]) -> None:
         """Send this instance's state to new siblings, once per incarnation."""
-        starts = {one.note.ip: one.note.incarnation for one in self._members.others()}
-        new = [ip for ip in siblings if self._greeted.get(ip) != starts.get(ip)]
-        self._greeted.update({ip: starts[ip] for ip in new if ip in starts})
+        incarnations = {one.note.ip: one.note.incarnation for one in self._members.others()}
+        new = [ip for ip in siblings if self._greeted.get(ip) != incarnations.get(ip)]
+        self._greeted.update({ip: incarnations[ip] for ip in new if ip in incarnations})
         if new:
             self._send(new, self._gossip_message(True, is_new=True))
 
@@ -215,16 +215,16 @@
         self._round += 1
         own = self._members.own
         self._members.own = msgspec.structs.replace(own, counter=own.counter + 1)
-        near, far, silent = self._peers()
+        siblings, remote, silent = self._peers()
         for one in (*self._loads.round(), *self._quotas.round()):
             self._send(one.peers, one.message)
-        round_siblings = self._siblings_for_round(near)
+        round_siblings = self._siblings_for_round(siblings)
         if round_siblings:
             self._send(round_siblings, self._gossip_message(True))
         is_representative = self._is_representative()
         if is_representative:
             self._send_to_other_region()
-        self._probe(_ips(near + far), silent, is_representative)
+        self._probe(_ips(siblings + remote), silent, is_representative)
 
     def _is_representative(self) -> bool:
         """Return whether this instance is one of its region's representatives to other regions."""
@@ -257,12 +257,12 @@
         own = self._members.own
         self._members.own = msgspec.structs.replace(own, phase=phase, counter=own.counter + 1)
         self._members.own_phase_at_ms = now_ms()
-        near, _, _ = self._peers()
+        siblings, _, _ = self._peers()
         self._send(
-            self._limit_randomly(_ips(near), MAX_BROADCAST_PEERS), self._gossip_message(True)
+            self._limit_randomly(_ips(siblings), MAX_BROADCAST_PEERS), self._gossip_message(True)
         )
-        far = [self._chance.choice(ips) for ips in self._ips_by_other_region()]
-        self._send(far, self._gossip_message(False))
+        remote = [self._chance.choice(ips) for ips in self._ips_by_other_region()]
+        self._send(remote, self._gossip_message(False))
 
     def tell(self, outgoing: Iterable[Outgoing | QuotaDatagram]) -> None:
         """Send load or quota datagrams immediately."""
@@ -280,9 +280,9 @@
             self._send(self._limit_randomly(ips, REPRESENTATIVES_PER_REGION), news)
 
     def _broadcast_to_siblings(self, news: CrashNews) -> None:
-        near, _, _ = self._peers()
-        told = CrashNews(news.crashes, pass_on=False)
-        self._send(self._limit_randomly(_ips(near), MAX_BROADCAST_PEERS), told)
+        siblings, _, _ = self._peers()
+        message = CrashNews(news.crashes, pass_on=False)
+        self._send(self._limit_randomly(_ips(siblings), MAX_BROADCAST_PEERS), message)
 
     def close(self) -> None:
         """Close the port, which ends `read`."""
@@ -291,25 +291,25 @@
 
     def _peers(self) -> tuple[list[Member], list[Member], list[Member]]:
         """Return siblings, peers in other regions, and silent members."""
-        near: list[Member] = []
-        far: list[Member] = []
+        siblings: list[Member] = []
+        remote: list[Member] = []
         silent: list[Member] = []
         for member in self._members.others():
             if _is_silent(member):
                 silent.append(member)
             elif member.note.region == self._members.own.region:
-                near.append(member)
+                siblings.append(member)
             else:
-                far.append(member)
-        return near, far, silent
+                remote.append(member)
+        return siblings, remote, silent
 
-    def _siblings_for_round(self, near: list[Member]) -> list[str]:
+    def _siblings_for_round(self, siblings: list[Member]) -> list[str]:
         """Return the siblings that get a datagram in this round, mostly in the own zone."""
-        if len(near) <= SIBLINGS_PER_ROUND:
-            return _ips(near)
+        if len(siblings) <= SIBLINGS_PER_ROUND:
+            return _ips(siblings)
         zone = self._members.own.availability_zone
-        same_zone = _ips(one for one in near if one.note.availability_zone == zone)
-        other_zones = _ips(one for one in near if one.note.availability_zone != zone)
+        same_zone = _ips(one for one in siblings if one.note.availability_zone == zone)
+        other_zones = _ips(one for one in siblings if one.note.availability_zone != zone)
         other_zone_count = (
             max(OTHER_ZONE_SIBLINGS_PER_ROUND, SIBLINGS_PER_ROUND - len(same_zone))
             if other_zones
@@ -319,13 +319,13 @@
             other_zones, other_zone_count
         )
 
-    def _rotate(self, peers: list[str], most: int) -> list[str]:
-        if len(peers) <= most:
+    def _rotate(self, peers: list[str], limit: int) -> list[str]:
+        if len(peers) <= limit:
             return peers
         # Each instance starts at a different offset, so that a peer is not contacted by all at
         # once.
-        start = (self._round * most + hash(self._members.own.ip)) % len(peers)
-        return [peers[(start + step) % len(peers)] for step in range(most)]
+        start = (self._round * limit + hash(self._members.own.ip)) % len(peers)
+        return [peers[(start + step) % len(peers)] for step in range(limit)]
 
     def _probe(self, known: list[str], silent: list[Member], is_representative: bool) -> None:
         """Query members: in the first rounds from all seeds, later from one missing peer."""
@@ -354,7 +354,7 @@
 
     def _gossip_message(
         self,
-        near: bool,
+        same_region: bool,
         members: list[MemberNote] | None = None,
         wants_members: bool = False,
         wanted: list[int] | None = None,
@@ -365,18 +365,18 @@
             sender=self._members.own,
             store_revision=self._sources.store_revision(),
             store_reached=self._sources.store_reached(),
-            loads=self._loads.readings_for(near),
+            loads=self._loads.readings_for(same_region),
             reads=self._sources.recent_reads(),
-            beats=self._heartbeats(near),
+            beats=self._heartbeats(same_region),
             members=members or [],
             wants_members=wants_members,
             wanted=wanted or [],
-            crashes=self._crashes.notes_for(near, is_new),
+            crashes=self._crashes.notes_for(same_region, is_new),
             server_limits=self._sources.server_limits(),
         )
 
-    def _heartbeats(self, near: bool) -> list[MemberBeat]:
-        if near:
+    def _heartbeats(self, same_region: bool) -> list[MemberBeat]:
+        if same_region:
             return self._limit_randomly(self._members.heard_lately(), MAX_RELAYED_HEARTBEATS)
         own_region = self._members.heard_lately(RegionName(self._members.own.region))
         return self._limit_randomly(own_region, MAX_CROSS_REGION_HEARTBEATS)
@@ -390,10 +390,10 @@
         remaining = [one for one in known if one.region != region]
         return in_region + self._limit_randomly(remaining, MAX_DESCRIBED_MEMBERS - len(in_region))
 
-    def _limit_randomly(self, all_of_them: list[Item], most: int) -> list[Item]:
-        if len(all_of_them) <= most:
-            return all_of_them
-        return self._chance.sample(all_of_them, most)
+    def _limit_randomly(self, items: list[Item], limit: int) -> list[Item]:
+        if len(items) <= limit:
+            return items
+        return self._chance.sample(items, limit)
 
     def _send(self, peers: list[str], message: Datagram) -> None:
         data = pack(message)
--- a/sparline/fleet/_load_exchange.py
+++ b/sparline/fleet/_load_exchange.py
@@ -97,9 +97,7 @@
         self._aggregators = Aggregators()
         self._sequence = 0
         self._round = 0
-        self._aggregator_since_ms: dict[
-            BackendServerId, float
-        ] = {}  # start of its role as aggregator
+        self._aggregator_since_ms: dict[BackendServerId, float] = {}
 
     def note_change(
         self,
@@ -221,21 +219,23 @@
 
     def readings_for(self, is_same_region: bool) -> list[LoadReadingNote]:
         """Return the readings to send to a peer of the own region, or of another."""
-        here = set(self._sources.region_servers())
+        own_servers = set(self._sources.region_servers())
         fresh = self.board.newer_than(RELAY_MAX_AGE_MS)
-        near = [pair for pair in fresh if pair[0] in here]
+        own_region = [pair for pair in fresh if pair[0] in own_servers]
         if not is_same_region:
-            return _reading_notes(near[:MAX_CROSS_REGION_READINGS])
-        far = [pair for pair in fresh if pair[0] not in here]
-        return _reading_notes(near[:MAX_SIBLING_READINGS] + far[:MAX_RELAYED_READINGS])
+            return _reading_notes(own_region[:MAX_CROSS_REGION_READINGS])
+        other_regions = [pair for pair in fresh if pair[0] not in own_servers]
+        return _reading_notes(
+            own_region[:MAX_SIBLING_READINGS] + other_regions[:MAX_RELAYED_READINGS]
+        )
 
     def take_readings(self, notes: list[LoadReadingNote]) -> None:
         """Merge a peer's readings; the newest reading of each server is kept."""
         now = now_ms()
-        here = set(self._sources.region_servers()) if notes else set()
+        own_servers = set(self._sources.region_servers()) if notes else set()
         for note in notes:
             server_id = BackendServerId(note.load.backend_server)
-            transit_ms = REGION_TRANSIT_MS if server_id in here else CROSS_REGION_TRANSIT_MS
+            transit_ms = REGION_TRANSIT_MS if server_id in own_servers else CROSS_REGION_TRANSIT_MS
             at_ms = now - max(note.age_ms, 0)
             reading = LoadReading(at_ms, at_ms - transit_ms, read_load(note.load), note.doubted)
             self.board.take(server_id, reading)
