--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -26,11 +26,11 @@
     GossipPort,
     GossipSources,
     LoadExchange,
-    LoadOf,
     LoadSources,
     Member,
     Members,
     QuotaExchange,
+    ServerLoad,
     UnknownItem,
     _gossip,
     make_note,
@@ -112,7 +112,7 @@
             return make()
         return self.tables.setdefault((region, name), make())  # type: ignore[return-value]
 
-    def true_load(self, server_id: BackendServerId) -> LoadOf:
+    def true_load(self, server_id: BackendServerId) -> ServerLoad:
         """Return what all instances of a server's region have at it."""
         region = next(one.region for one in self.servers if one.id == server_id)
         return sum_loads(node.loads.own(server_id) for node in self.nodes[region])
@@ -257,7 +257,9 @@
     def _peers(self, region: RegionName) -> list[Member]:
         return self.members.live(region)
 
-    def _note_load(self, server: BackendServer, change: LoadOf, shown_log: float | None) -> None:
+    def _note_load(
+        self, server: BackendServer, change: ServerLoad, shown_log: float | None
+    ) -> None:
         is_near = server.region == self.region
         self.port.tell(self.exchange.note_change(server.id, change, shown_log, is_near))
 
--- a/benchmarks/_views.py
+++ b/benchmarks/_views.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from unittest.mock import patch
 
-from sparline.fleet import LoadOf
+from sparline.fleet import ServerLoad
 from sparline.tests.fake_fleet import STEP_MS, FakeFleet, region_of, zone_of
 
 # Instances of a region, its servers: a small site, the larger ones of today, and beyond.
@@ -86,16 +86,16 @@
         while self._ends and self._ends[0][0] <= now_ms:
             _, ip, server = heapq.heappop(self._ends)
             self.running[server] -= 1
-            self._fleet.change_load(ip, server, LoadOf(-1, -400, 0))
+            self._fleet.change_load(ip, server, ServerLoad(-1, -400, 0))
         chance = self._fleet.chance
         for region, servers in self._fleet.servers.items():
             due = len(servers) * PER_SERVER / self._lasting_ms * STEP_MS
             for _ in range(int(due) + (chance.random() < due % 1)):
                 ip, server = chance.choice(self._ips[region]), chance.choice(servers)
                 self.running[server] += 1
-                self._fleet.change_load(ip, server, LoadOf(1, 400, self._unread_tokens))
+                self._fleet.change_load(ip, server, ServerLoad(1, 400, self._unread_tokens))
                 if self._unread_tokens:
-                    self._fleet.change_load(ip, server, LoadOf(0, 0, -self._unread_tokens))
+                    self._fleet.change_load(ip, server, ServerLoad(0, 0, -self._unread_tokens))
                 end_ms = now_ms + chance.expovariate(1 / self._lasting_ms)
                 heapq.heappush(self._ends, (end_ms, ip, server))
 
@@ -138,7 +138,7 @@
             list(fleet.instances.values()), min(9, len(fleet.instances))
         ):
             began_s = time.perf_counter()
-            known = {server: one.loads.board.load(server) or LoadOf() for server in servers}
+            known = {server: one.loads.board.load(server) or ServerLoad() for server in servers}
             look_s += time.perf_counter() - began_s
             looks += 1
             for server in servers:
--- a/sparline/fleet/__init__.py
+++ b/sparline/fleet/__init__.py
@@ -14,7 +14,7 @@
 from sparline.fleet._gossip import Datagram, GossipPort, GossipSources, make_note
 from sparline.fleet._load_board import LoadBoard, LoadReading
 from sparline.fleet._load_exchange import LoadExchange, LoadSources, Outgoing
-from sparline.fleet._loads import LoadOf, sum_loads
+from sparline.fleet._loads import ServerLoad, sum_loads
 from sparline.fleet._members import Member, Members
 from sparline.fleet._quota_exchange import QuotaExchange
 from sparline.fleet._store_copy import StoreChange, StoreCopyTable
@@ -41,7 +41,7 @@
     "GossipSources",
     "LoadBoard",
     "LoadExchange",
-    "LoadOf",
+    "ServerLoad",
     "LoadReading",
     "LoadSources",
     "Member",
--- a/sparline/fleet/_load_board.py
+++ b/sparline/fleet/_load_board.py
@@ -5,7 +5,7 @@
 
 from sparline._clock import now_ms
 from sparline._ids import BackendServerId
-from sparline.fleet._loads import LoadOf, sum_loads
+from sparline.fleet._loads import ServerLoad, sum_loads
 
 # Maximum age of a reading or change that is still used (ms).
 LOAD_MAX_AGE_MS = 4_000.0
@@ -17,7 +17,7 @@
 
     at_ms: float  # when the sum was computed (process clock)
     covers_until_ms: float  # local changes up to this time are included in the sum
-    load: LoadOf  # total load
+    load: ServerLoad  # total load
     is_doubted: bool  # whether the server recently failed any instance
 
 
@@ -26,7 +26,7 @@
     """Hold one change of a server's load, local or broadcast by a sibling."""
 
     at_ms: float  # when it was recorded
-    load: LoadOf  # added load, negative for removed load
+    load: ServerLoad  # added load, negative for removed load
 
 
 class _Changes:
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self._entries: deque[_Change] = deque()
-        self.sum = LoadOf()
+        self.sum = ServerLoad()
 
     def __bool__(self) -> bool:
         return bool(self._entries)
@@ -50,7 +50,7 @@
             dropped.append(self._entries.popleft().load)
         if dropped:
             removed = sum_loads(dropped)
-            self.sum = LoadOf(
+            self.sum = ServerLoad(
                 self.sum.running - removed.running,
                 self.sum.held_tokens - removed.held_tokens,
                 self.sum.unread_tokens - removed.unread_tokens,
@@ -65,7 +65,7 @@
         self._readings: dict[BackendServerId, LoadReading] = {}
         self._changes: dict[BackendServerId, _Changes] = {}
 
-    def note_change(self, server_id: BackendServerId, change: LoadOf) -> None:
+    def note_change(self, server_id: BackendServerId, change: ServerLoad) -> None:
         """Record a change of a server's load by this instance, or one broadcast by a sibling."""
         now = now_ms()
         changes = self._changes.setdefault(server_id, _Changes())
@@ -96,16 +96,18 @@
         held = self._readings.get(server_id)
         return held if held is not None and held.at_ms >= now_ms() - LOAD_MAX_AGE_MS else None
 
-    def load(self, server_id: BackendServerId) -> LoadOf | None:
+    def load(self, server_id: BackendServerId) -> ServerLoad | None:
         """Return the estimated load of a server, or None if nothing is known."""
         reading = self.reading(server_id)
         changes = self._changes.get(server_id)
         if reading is None and changes is None:
             return None
         # Before the first reading, only the recorded changes are known.
-        base = LoadOf() if reading is None else reading.load
+        base = ServerLoad() if reading is None else reading.load
         total = base if changes is None else sum_loads((base, changes.sum))
-        return LoadOf(max(total.running, 0), max(total.held_tokens, 0), max(total.unread_tokens, 0))
+        return ServerLoad(
+            max(total.running, 0), max(total.held_tokens, 0), max(total.unread_tokens, 0)
+        )
 
     def age_ms(self, server_id: BackendServerId) -> float | None:
         """Return the age of a server's newest reading, or None if there is none."""
--- a/sparline/fleet/_load_exchange.py
+++ b/sparline/fleet/_load_exchange.py
@@ -15,7 +15,7 @@
 from sparline._ids import BackendServerId, RegionName
 from sparline.fleet._load_board import LOAD_MAX_AGE_MS, LoadBoard, LoadReading
 from sparline.fleet._load_shares import Aggregators, ShareTable
-from sparline.fleet._loads import LoadOf, read_load, sum_loads, write_load
+from sparline.fleet._loads import ServerLoad, read_load, sum_loads, write_load
 from sparline.fleet._members import Member, Members
 from sparline.fleet._news_allowance import BroadcastAllowance
 from sparline.schema._gossip import (
@@ -67,8 +67,10 @@
 class LoadSources:
     """Hold the callbacks that supply this instance's own load and consume measurements."""
 
-    own_loads: Callable[[], dict[BackendServerId, LoadOf]]  # own load on each server of the region
-    own_load: Callable[[BackendServerId], LoadOf]  # own load on one server
+    own_loads: Callable[
+        [], dict[BackendServerId, ServerLoad]
+    ]  # own load on each server of the region
+    own_load: Callable[[BackendServerId], ServerLoad]  # own load on one server
     doubted: Callable[[], list[BackendServerId]]  # region's servers that failed it recently
     is_doubted: Callable[[BackendServerId], bool]  # whether a server failed it recently
     region_servers: Callable[[], list[BackendServerId]]  # all servers of the region
@@ -102,7 +104,7 @@
     def note_change(
         self,
         server_id: BackendServerId,
-        change: LoadOf,
+        change: ServerLoad,
         shown_log: float | None,
         is_same_region: bool,
     ) -> list[Outgoing]:
@@ -125,7 +127,7 @@
         return outgoing
 
     def _broadcast_change(
-        self, server_id: BackendServerId, change: LoadOf, shown_log: float | None
+        self, server_id: BackendServerId, change: ServerLoad, shown_log: float | None
     ) -> list[Outgoing]:
         """Return the broadcast to siblings about a prefill that starts or ends, if any."""
         siblings = [one.note.ip for one in self._siblings()]
--- a/sparline/fleet/_load_shares.py
+++ b/sparline/fleet/_load_shares.py
@@ -5,7 +5,7 @@
 from sparline._clock import now_ms
 from sparline._hashing import hash64
 from sparline._ids import BackendServerId
-from sparline.fleet._loads import LoadOf, read_load, sum_loads
+from sparline.fleet._loads import ServerLoad, read_load, sum_loads
 from sparline.schema._gossip import LoadShares
 
 # Lifetime of a share that is not sent again (ms): each share is sent again every second.
@@ -23,7 +23,7 @@
 class ServerSum:
     """Hold the load that other instances put on one backend server."""
 
-    load: LoadOf  # sum of all shares
+    load: ServerLoad  # sum of all shares
     is_doubted: bool  # whether the server recently failed any of them
 
 
@@ -34,7 +34,7 @@
     at_ms: float  # when it was received
     incarnation: int  # start of the instance's process
     sequence: int  # number of the datagram
-    load: LoadOf  # total load of the instance on the server
+    load: ServerLoad  # total load of the instance on the server
     is_doubted: bool  # whether the server recently failed the instance
 
 
--- a/sparline/fleet/_loads.py
+++ b/sparline/fleet/_loads.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoadOf:
+class ServerLoad:
     """Hold the load on one backend server, or a change of it."""
 
     running: int = 0  # requests in progress
@@ -16,21 +16,21 @@
     unread_tokens: int = 0  # prompt tokens of requests that have no first event yet
 
 
-def sum_loads(loads: Iterable[LoadOf]) -> LoadOf:
+def sum_loads(loads: Iterable[ServerLoad]) -> ServerLoad:
     """Return the sum of loads."""
     running = held = unread = 0
     for one in loads:
         running += one.running
         held += one.held_tokens
         unread += one.unread_tokens
-    return LoadOf(running, held, unread)
+    return ServerLoad(running, held, unread)
 
 
-def read_load(note: BackendLoadNote) -> LoadOf:
+def read_load(note: BackendLoadNote) -> ServerLoad:
     """Decode a load from its message form."""
-    return LoadOf(note.running, note.held_tokens, note.unread_tokens)
+    return ServerLoad(note.running, note.held_tokens, note.unread_tokens)
 
 
-def write_load(server_id: BackendServerId, load: LoadOf) -> BackendLoadNote:
+def write_load(server_id: BackendServerId, load: ServerLoad) -> BackendLoadNote:
     """Encode a server's load in its message form."""
     return BackendLoadNote(server_id, load.running, load.held_tokens, load.unread_tokens)
--- a/sparline/fleet/tests/test_load_board.py
+++ b/sparline/fleet/tests/test_load_board.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sparline._ids import BackendServerId
-from sparline.fleet import LoadBoard, LoadOf, LoadReading, _load_board, sum_loads
+from sparline.fleet import LoadBoard, LoadReading, ServerLoad, _load_board, sum_loads
 
 SERVER = BackendServerId("e1")
 
@@ -16,7 +16,7 @@
     now = [1_000_000.0]
     monkeypatch.setattr(_load_board, "now_ms", lambda: now[0])
     board = LoadBoard()
-    changes: list[tuple[float, LoadOf]] = []
+    changes: list[tuple[float, ServerLoad]] = []
     reading = None
     covers = 0.0
     for _ in range(300):
@@ -24,11 +24,11 @@
         if chance.random() < 0.1:
             # The time that readings cover never decreases.
             covers = max(covers, now[0] - chance.uniform(0, 300))
-            reading = LoadReading(now[0], covers, LoadOf(500, 90_000, 9_000), False)
+            reading = LoadReading(now[0], covers, ServerLoad(500, 90_000, 9_000), False)
             board.take(SERVER, reading)
         else:
             sign = chance.choice((1, -1))
-            change = LoadOf(sign, sign * chance.randrange(500), sign * chance.randrange(50))
+            change = ServerLoad(sign, sign * chance.randrange(500), sign * chance.randrange(50))
             board.note_change(SERVER, change)
             changes.append((now[0], change))
         if reading is None or reading.at_ms < now[0] - _load_board.LOAD_MAX_AGE_MS:
--- a/sparline/fleet/tests/test_load_exchange.py
+++ b/sparline/fleet/tests/test_load_exchange.py
@@ -5,10 +5,10 @@
 
 from sparline.fleet import (
     LoadExchange,
-    LoadOf,
     LoadReading,
     LoadSources,
     Members,
+    ServerLoad,
     _load_board,
     _load_exchange,
     _load_shares,
@@ -46,7 +46,7 @@
     """Set up one instance's exchange, with three siblings and one instance in another region."""
 
     def __init__(self, siblings: tuple[str, ...] = SIBLINGS) -> None:
-        self.own_loads: dict[str, LoadOf] = {}
+        self.own_loads: dict[str, ServerLoad] = {}
         self.doubted: list[str] = []
         self.shown: list[tuple[str, float]] = []  # slowdowns reported by siblings
         self.siblings = siblings
@@ -59,7 +59,7 @@
             self.members,
             LoadSources(
                 lambda: self.own_loads,
-                lambda server: self.own_loads.get(server, LoadOf()),
+                lambda server: self.own_loads.get(server, ServerLoad()),
                 lambda: self.doubted,
                 lambda server: server in self.doubted,
                 lambda: servers,
@@ -86,7 +86,7 @@
                 self.hear(ip)
             self.loads.round()
 
-    def known_load(self, server: str) -> LoadOf | None:
+    def known_load(self, server: str) -> ServerLoad | None:
         return self.loads.board.load(server)
 
 
@@ -97,7 +97,7 @@
 
 def shares(
     server: str,
-    load: LoadOf,
+    load: ServerLoad,
     ip: str = "a",
     sequence: int = 1,
     incarnation: int = 1,
@@ -107,15 +107,15 @@
     return LoadShares(ip, incarnation, sequence, [note], believed_running)
 
 
-LONG, SHORT = LoadOf(1, 10_000, 9_000), LoadOf(1, 400, 300)
+LONG, SHORT = ServerLoad(1, 10_000, 9_000), ServerLoad(1, 400, 300)
 IMMEDIATE_MESSAGES = [
     # change, same region, share datagrams to the aggregators, broadcasts to all siblings
     ("a long prompt", LONG, True, 1, 1),
-    ("a long prompt after prefill", LoadOf(0, 0, -9_000), True, 1, 1),
-    ("a medium prompt", LoadOf(1, 600, 500), True, 1, 1),
+    ("a long prompt after prefill", ServerLoad(0, 0, -9_000), True, 1, 1),
+    ("a medium prompt", ServerLoad(1, 600, 500), True, 1, 1),
     ("a short prompt", SHORT, True, 1, 0),
-    ("a short prompt after prefill", LoadOf(0, 0, -150), True, 0, 0),
-    ("a finished request", LoadOf(-1, -400, 0), True, 1, 0),
+    ("a short prompt after prefill", ServerLoad(0, 0, -150), True, 0, 0),
+    ("a finished request", ServerLoad(-1, -400, 0), True, 1, 0),
     ("a long prompt of another region", LONG, False, 0, 0),
 ]
 
@@ -136,7 +136,7 @@
 
 def test_broadcasts_of_medium_prefills_are_rate_limited(one, clock):
     def told() -> int:
-        change = LoadOf(1, 600, 500)
+        change = ServerLoad(1, 600, 500)
         sent = [one.loads.note_change(one.others, change, None, True) for _ in range(50)]
         return sum(isinstance(each.message, LoadNews) for some in sent for each in some)
 
@@ -150,7 +150,7 @@
 
 
 def test_measured_slowdown_is_sent_at_the_end_of_a_prefill(one):
-    sent = one.loads.note_change(one.others, LoadOf(0, 0, -9_000), 0.75, True)
+    sent = one.loads.note_change(one.others, ServerLoad(0, 0, -9_000), 0.75, True)
     news = next(each.message for each in sent if isinstance(each.message, LoadNews))
     one.loads.take_news(news)
     one.loads.take_news(LoadNews(write_load(one.others, LONG)))
@@ -158,10 +158,22 @@
 
 
 SHARE_SUMS = [
-    ("two", [("a", 1, LoadOf(2, 200, 20)), ("b", 1, LoadOf(3, 300, 30))], LoadOf(6, 510, 55)),
-    ("resent", [("a", 1, LoadOf(2, 200, 20)), ("a", 2, LoadOf(1, 100, 10))], LoadOf(2, 110, 15)),
-    ("reordered", [("a", 2, LoadOf(2, 200, 20)), ("a", 1, LoadOf(9, 900, 90))], LoadOf(3, 210, 25)),
-    ("ended", [("a", 1, LoadOf(2, 200, 20)), ("a", 2, LoadOf())], LoadOf(1, 10, 5)),
+    (
+        "two",
+        [("a", 1, ServerLoad(2, 200, 20)), ("b", 1, ServerLoad(3, 300, 30))],
+        ServerLoad(6, 510, 55),
+    ),
+    (
+        "resent",
+        [("a", 1, ServerLoad(2, 200, 20)), ("a", 2, ServerLoad(1, 100, 10))],
+        ServerLoad(2, 110, 15),
+    ),
+    (
+        "reordered",
+        [("a", 2, ServerLoad(2, 200, 20)), ("a", 1, ServerLoad(9, 900, 90))],
+        ServerLoad(3, 210, 25),
+    ),
+    ("ended", [("a", 1, ServerLoad(2, 200, 20)), ("a", 2, ServerLoad())], ServerLoad(1, 10, 5)),
 ]
 
 
@@ -169,7 +181,7 @@
     ("told", "total"), [row[1:] for row in SHARE_SUMS], ids=[row[0] for row in SHARE_SUMS]
 )
 def test_aggregator_sums_the_newest_shares_and_its_own(one, clock, told, total):
-    one.own_loads[one.mine] = LoadOf(1, 10, 5)
+    one.own_loads[one.mine] = ServerLoad(1, 10, 5)
     for ip, sequence, load in told:
         one.loads.take_shares(shares(one.mine, load, ip, sequence))
     one.pass_ms(clock, 1_500)
@@ -180,44 +192,44 @@
 
 
 def test_sequence_numbers_restart_with_a_siblings_incarnation(one, clock):
-    one.loads.take_shares(shares(one.mine, LoadOf(9, 900, 90), sequence=50))
-    one.loads.take_shares(shares(one.mine, LoadOf(1, 100, 10), sequence=1, incarnation=2))
-    assert one.loads._shares.sum(one.mine).load == LoadOf(1, 100, 10)
+    one.loads.take_shares(shares(one.mine, ServerLoad(9, 900, 90), sequence=50))
+    one.loads.take_shares(shares(one.mine, ServerLoad(1, 100, 10), sequence=1, incarnation=2))
+    assert one.loads._shares.sum(one.mine).load == ServerLoad(1, 100, 10)
 
 
 def test_share_expires_if_not_sent_again(one, clock):
-    one.loads.take_shares(shares(one.mine, LoadOf(2, 200, 20)))
+    one.loads.take_shares(shares(one.mine, ServerLoad(2, 200, 20)))
     clock.now += _load_shares.SHARE_LIFETIME_MS + 1
-    assert one.loads._shares.sum(one.mine).load == LoadOf()
+    assert one.loads._shares.sum(one.mine).load == ServerLoad()
 
 
-READING = LoadOf(5, 500, 50)
+READING = ServerLoad(5, 500, 50)
 
 
 def receive_reading(
-    one: Exchange, server: str, age_ms: int, load: LoadOf = READING, doubted: bool = False
+    one: Exchange, server: str, age_ms: int, load: ServerLoad = READING, doubted: bool = False
 ) -> None:
     one.loads.take_readings([LoadReadingNote(age_ms, write_load(server, load), doubted)])
 
 
 def test_newest_reading_is_kept_whatever_the_order_of_arrival(one):
     receive_reading(one, one.others, 300)
-    receive_reading(one, one.others, 800, LoadOf(9, 900, 90))
+    receive_reading(one, one.others, 800, ServerLoad(9, 900, 90))
     assert one.known_load(one.others) == READING
-    receive_reading(one, one.others, 100, LoadOf(4, 400, 40))
-    assert one.known_load(one.others) == LoadOf(4, 400, 40)
+    receive_reading(one, one.others, 100, ServerLoad(4, 400, 40))
+    assert one.known_load(one.others) == ServerLoad(4, 400, 40)
 
 
 def test_changes_after_a_reading_are_added_to_it(one, clock):
-    one.loads.note_change(one.others, LoadOf(1, 100, 10), None, True)
+    one.loads.note_change(one.others, ServerLoad(1, 100, 10), None, True)
     clock.now += 500
     receive_reading(one, one.others, 200)
     assert one.known_load(one.others) == READING
-    one.loads.take_news(LoadNews(write_load(one.others, LoadOf(1, 0, 2_000))))
-    one.loads.note_change(one.others, LoadOf(-1, -100, 0), None, True)
-    assert one.known_load(one.others) == LoadOf(5, 400, 2_050)
+    one.loads.take_news(LoadNews(write_load(one.others, ServerLoad(1, 0, 2_000))))
+    one.loads.note_change(one.others, ServerLoad(-1, -100, 0), None, True)
+    assert one.known_load(one.others) == ServerLoad(5, 400, 2_050)
     receive_reading(one, one.others, 100)
-    assert one.known_load(one.others) == LoadOf(5, 400, 2_050)
+    assert one.known_load(one.others) == ServerLoad(5, 400, 2_050)
     clock.now += 50
     receive_reading(one, one.others, 0)
     assert one.known_load(one.others) == READING
@@ -252,7 +264,7 @@
 
 
 def test_doubt_of_one_sibling_is_in_the_reading_until_withdrawn(one, clock):
-    doubting = shares(one.mine, LoadOf())
+    doubting = shares(one.mine, ServerLoad())
     doubting = msgspec.structs.replace(
         doubting, shares=[msgspec.structs.replace(doubting.shares[0], doubted=True)]
     )
@@ -260,7 +272,7 @@
     one.loads.take_shares(doubting)
     one.pass_ms(clock, 250)
     assert one.loads.board.is_doubted(one.mine)
-    one.loads.take_shares(shares(one.mine, LoadOf(), sequence=2))
+    one.loads.take_shares(shares(one.mine, ServerLoad(), sequence=2))
     one.pass_ms(clock, 250)
     assert not one.loads.board.is_doubted(one.mine)
 
@@ -275,17 +287,17 @@
     one.pass_ms(clock, 1_000)
     assert one.known_load(one.mine) == READING
     one.pass_ms(clock, 500)
-    assert one.known_load(one.mine) == LoadOf()
+    assert one.known_load(one.mine) == ServerLoad()
 
 
 def test_single_instance_publishes_loads_after_a_delay(clock):
     one = Exchange(siblings=())
     one.pass_ms(clock, 1_500)
-    assert one.known_load(one.mine) == LoadOf()
+    assert one.known_load(one.mine) == ServerLoad()
 
 
 def test_instances_that_start_together_publish_loads_immediately(one):
-    assert one.known_load(one.mine) == LoadOf()
+    assert one.known_load(one.mine) == ServerLoad()
 
 
 def test_new_aggregator_keeps_the_existing_reading_at_first(one, clock):
@@ -294,7 +306,7 @@
     one.pass_ms(clock, 1_000)
     assert one.known_load(one.mine) == READING
     one.pass_ms(clock, 750)
-    assert one.known_load(one.mine) == LoadOf()
+    assert one.known_load(one.mine) == ServerLoad()
 
 
 def test_broadcast_change_counts_before_any_reading(one):
@@ -303,14 +315,14 @@
 
 
 def test_second_aggregator_takes_over_from_a_silent_first(one, clock):
-    one.loads.take_shares(shares(one.second, LoadOf(2, 200, 20)))
+    one.loads.take_shares(shares(one.second, ServerLoad(2, 200, 20)))
     clock.now += 1
     receive_reading(one, one.second, 0)
     one.pass_ms(clock, 500)
     assert one.known_load(one.second) == READING
-    one.loads.take_shares(shares(one.second, LoadOf(2, 200, 20), sequence=2))
+    one.loads.take_shares(shares(one.second, ServerLoad(2, 200, 20), sequence=2))
     one.pass_ms(clock, 1_000)
-    assert one.known_load(one.second) == LoadOf(2, 200, 20)
+    assert one.known_load(one.second) == ServerLoad(2, 200, 20)
 
 
 def test_shares_and_doubts_are_resent_to_both_aggregators(one, clock):
@@ -372,33 +384,33 @@
 )
 def test_wrong_load_estimate_is_corrected_immediately(one, clock, running, believed, told):
     one.pass_ms(clock, 2_000)
-    one.loads.take_shares(shares(one.mine, LoadOf(running - 1, 0, 0), "b"))
-    share = shares(one.mine, LoadOf(1, 0, 0), "a", believed_running=believed)
+    one.loads.take_shares(shares(one.mine, ServerLoad(running - 1, 0, 0), "b"))
+    share = shares(one.mine, ServerLoad(1, 0, 0), "a", believed_running=believed)
     answers = one.loads.take_shares(share)
     words = [answer.message.reading.load.running for answer in answers if answer.peers == ["a"]]
     assert words == ([running] if told else [])
 
 
 def test_load_correction_is_used_as_the_newest_reading(one, clock):
-    one.loads.take_news(LoadNews(write_load(one.others, LoadOf(1, 500, 500))))
+    one.loads.take_news(LoadNews(write_load(one.others, ServerLoad(1, 500, 500))))
     clock.now += 20
-    word = LoadWord(LoadReadingNote(0, write_load(one.others, LoadOf(14, 9_000, 700)), False))
+    word = LoadWord(LoadReadingNote(0, write_load(one.others, ServerLoad(14, 9_000, 700)), False))
     one.loads.take_readings([word.reading])
-    assert one.known_load(one.others) == LoadOf(14, 9_000, 700)
+    assert one.known_load(one.others) == ServerLoad(14, 9_000, 700)
 
 
 def test_only_the_established_first_aggregator_sends_corrections(one, clock):
-    wrong = shares(one.mine, LoadOf(20, 0, 0), believed_running=1)
+    wrong = shares(one.mine, ServerLoad(20, 0, 0), believed_running=1)
     one.pass_ms(clock, 2_000)
     assert one.loads.take_shares(wrong)
-    assert not one.loads.take_shares(shares(one.second, LoadOf(20, 0, 0), believed_running=1))
-    assert not one.loads.take_shares(shares(one.others, LoadOf(20, 0, 0), believed_running=1))
+    assert not one.loads.take_shares(shares(one.second, ServerLoad(20, 0, 0), believed_running=1))
+    assert not one.loads.take_shares(shares(one.others, ServerLoad(20, 0, 0), believed_running=1))
 
 
 def test_estimate_is_sent_when_a_request_starts_but_not_when_it_ends(one, clock):
     one.pass_ms(clock, 2_000)
-    one.loads.board.take(one.others, LoadReading(clock.now, clock.now, LoadOf(7, 0, 0), False))
+    one.loads.board.take(one.others, LoadReading(clock.now, clock.now, ServerLoad(7, 0, 0), False))
     clock.now += 10
     (came,) = one.loads.note_change(one.others, SHORT, None, True)
-    (went,) = one.loads.note_change(one.others, LoadOf(-1, -400, -300), None, True)
+    (went,) = one.loads.note_change(one.others, ServerLoad(-1, -400, -300), None, True)
     assert (came.message.believed_running, went.message.believed_running) == (8, None)
--- a/sparline/forwarding/tests/test_resume_wait.py
+++ b/sparline/forwarding/tests/test_resume_wait.py
@@ -2,7 +2,7 @@
 
 from sparline._clock import now_ms
 from sparline._ids import BackendServerId
-from sparline.fleet import LoadOf
+from sparline.fleet import ServerLoad
 from sparline.forwarding._attempt_types import Progress
 from sparline.forwarding._events import EventCutter
 from sparline.forwarding._resume_wait import given_up_ms, resumes_later
@@ -20,7 +20,7 @@
         effort_tokens=14_000,
         source=None,
         loss=1.0,
-        load=LoadOf(),
+        load=ServerLoad(),
         load_age_ms=None,
         doubt=Doubt.NONE,
     )
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -22,10 +22,10 @@
     GossipPort,
     GossipSources,
     LoadExchange,
-    LoadOf,
     LoadSources,
     Members,
     QuotaExchange,
+    ServerLoad,
     StoreCopyTable,
     StoreReader,
     make_note,
@@ -275,7 +275,9 @@
             )
         )
 
-    def _note_load(self, server: BackendServer, change: LoadOf, shown_log: float | None) -> None:
+    def _note_load(
+        self, server: BackendServer, change: ServerLoad, shown_log: float | None
+    ) -> None:
         is_near = server.region == self.members.own.region
         self.gossip.tell(self.load_exchange.note_change(server.id, change, shown_log, is_near))
 
--- a/sparline/placement/_loads.py
+++ b/sparline/placement/_loads.py
@@ -5,10 +5,10 @@
 
 from sparline._clock import now_ms
 from sparline._ids import BackendServerId, RegionName
-from sparline.fleet import BackendServer, LoadOf
+from sparline.fleet import BackendServer, ServerLoad
 
-ToldLoad = Callable[[BackendServerId], LoadOf | None]
-NoteChange = Callable[[BackendServer, LoadOf, float | None], None]
+ToldLoad = Callable[[BackendServerId], ServerLoad | None]
+NoteChange = Callable[[BackendServer, ServerLoad, float | None], None]
 
 # A server's place is kept this long after its last request (ms), for its learned pace.
 REMEMBER_MS = 120_000.0
@@ -42,7 +42,7 @@
         load: OwnLoad,
         held_tokens: int,
         unread_tokens: int,
-        on_change: Callable[[LoadOf, float | None], None],
+        on_change: Callable[[ServerLoad, float | None], None],
     ) -> None:
         """Count it; `on_change` is told what has come or, below zero, gone, and what that showed."""
         self._load = load
@@ -54,14 +54,14 @@
         load.held_tokens += held_tokens
         load.unread_tokens += unread_tokens
         load.used_at_ms = now_ms()
-        on_change(LoadOf(1, held_tokens, unread_tokens), None)
+        on_change(ServerLoad(1, held_tokens, unread_tokens), None)
 
     def note_first_event(self, shown_log: float | None = None) -> None:
         """Count the prompt as read; `shown_log` is what `PaceTable` learned of its server by it."""
         read, self._unread_tokens = self._unread_tokens, 0
         if read:
             self._load.unread_tokens -= read
-            self._on_change(LoadOf(0, 0, -read), shown_log)
+            self._on_change(ServerLoad(0, 0, -read), shown_log)
 
     def release(self) -> None:
         """Count the request as ended; further calls change nothing."""
@@ -72,7 +72,7 @@
         self._load.running -= 1
         self._load.held_tokens -= self._held_tokens
         self._load.unread_tokens -= unread
-        self._on_change(LoadOf(-1, -self._held_tokens, -unread), None)
+        self._on_change(ServerLoad(-1, -self._held_tokens, -unread), None)
         assert self._load.running >= 0, "a request was released twice"
 
 
@@ -111,24 +111,26 @@
         """Return the reading that this instance last let a backend server begin."""
         return self._readings.get(server_id)
 
-    def of(self, server: BackendServer) -> LoadOf:
+    def of(self, server: BackendServer) -> ServerLoad:
         """Return the load of a backend server."""
         own = self.own(server.id)
         told = self._told(server.id)
         if told is None:
             return own
-        return LoadOf(
+        return ServerLoad(
             max(own.running, told.running),
             max(own.held_tokens, told.held_tokens),
             max(own.unread_tokens, told.unread_tokens),
         )
 
-    def own(self, server_id: BackendServerId) -> LoadOf:
+    def own(self, server_id: BackendServerId) -> ServerLoad:
         """Return what this instance has at a backend server."""
         load = self._own.get(server_id)
-        return LoadOf(load.running, load.held_tokens, load.unread_tokens) if load else LoadOf()
+        return (
+            ServerLoad(load.running, load.held_tokens, load.unread_tokens) if load else ServerLoad()
+        )
 
-    def own_here(self) -> dict[str, LoadOf]:
+    def own_here(self) -> dict[str, ServerLoad]:
         """Return what this instance has at each backend server of its region."""
         return {
             server_id: self.own(server_id)
--- a/sparline/placement/_place_judge.py
+++ b/sparline/placement/_place_judge.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from sparline._ids import BackendServerId, RegionName, ZoneName
-from sparline.fleet import BackendServer, FleetState, LoadOf, Member
+from sparline.fleet import BackendServer, FleetState, Member, ServerLoad
 from sparline.placement._cold_shares import ColdShares
 from sparline.placement._credit import CreditTable
 from sparline.placement._demand import DemandTable
@@ -217,7 +217,7 @@
         request: RoutedRequest,
         service: Service,
         server: BackendServer,
-        load: LoadOf,
+        load: ServerLoad,
         work: _Work,
         pace: EnginePace,
     ) -> float:
@@ -237,7 +237,7 @@
         self,
         request: RoutedRequest,
         engine: EngineFigures,
-        load: LoadOf,
+        load: ServerLoad,
         work: _Work,
         pace: EnginePace,
         common: CommonFacts,
@@ -265,7 +265,7 @@
 
 
 def _queue_loss(
-    request: RoutedRequest, load: LoadOf, work: _Work, pace: EnginePace, common: CommonFacts
+    request: RoutedRequest, load: ServerLoad, work: _Work, pace: EnginePace, common: CommonFacts
 ) -> float:
     """Return what a reading loses for those that come behind it."""
     queue_ms = load.unread_tokens * pace.token_ms
--- a/sparline/placement/_placement.py
+++ b/sparline/placement/_placement.py
@@ -4,7 +4,7 @@
 from enum import Enum
 
 from sparline.decisions import RefusedFor
-from sparline.fleet import BackendServer, LoadOf, Member
+from sparline.fleet import BackendServer, Member, ServerLoad
 from sparline.requests import Reason
 
 
@@ -27,7 +27,7 @@
     effort_tokens: int  # the reading, as tokens at a prompt's start that take as long
     source: BackendServer | None  # engine of its region that passes what it keeps on to it
     loss: float  # what decided, against the credit of the request
-    load: LoadOf  # load of the server when this was decided
+    load: ServerLoad  # load of the server when this was decided
     load_age_ms: float | None  # how old that was, None where nobody told
     doubt: Doubt  # how far it is trusted
     waits: bool = False  # whether it waits there for one of the slots
--- a/sparline/placement/tests/test_choice.py
+++ b/sparline/placement/tests/test_choice.py
@@ -5,7 +5,7 @@
 
 from sparline._clock import now_ms
 from sparline._ids import BackendServerId, RegionName, ZoneName
-from sparline.fleet import BackendServer, FleetState, LoadOf, Member, UnknownItem
+from sparline.fleet import BackendServer, FleetState, Member, ServerLoad, UnknownItem
 from sparline.placement import (
     Chooser,
     ColdShares,
@@ -39,15 +39,15 @@
 LONG = Prompt(17_000, 120, (PromptStart("/long", 13_000),))
 VERY_LONG = Prompt(45_000, 300, ())
 SHORT = Prompt(400, 50, ())
-BUSY = LoadOf(running=6, held_tokens=60_000, unread_tokens=40_000)
-FULL = LoadOf(running=64, held_tokens=30_000)
+BUSY = ServerLoad(running=6, held_tokens=60_000, unread_tokens=40_000)
+FULL = ServerLoad(running=64, held_tokens=30_000)
 
 
 class World:
     """Hold the tables of one instance in the north."""
 
     def __init__(self, *servers: BackendServer, far_peers: bool = True) -> None:
-        self.loads: dict[str, LoadOf] = {}
+        self.loads: dict[str, ServerLoad] = {}
         self.doubted_there: set[str] = set()
         self.fleet = FleetState(lambda _c: UnknownItem(), lambda: None, lambda: 1e9, ZONES)
         self.fleet.configuration = make_rules()
@@ -102,7 +102,7 @@
             world.health.note_success(server.id)
 
 
-def set_load(**loads: LoadOf):
+def set_load(**loads: ServerLoad):
     return lambda world: world.loads.update(loads)
 
 
@@ -118,7 +118,7 @@
 SOUTH_ONLY = make_route(homes=frozenset((SOUTH,)))
 RELAYED = {"origin": Origin.RELAY}
 # An engine whose queue makes a request later than its wanted 800 ms.
-LATE = LoadOf(3, 60_000, 41_000)
+LATE = ServerLoad(3, 60_000, 41_000)
 NO_PAUSES = make_route(pause_target_ms=0.0)
 LEAVING = make_server("n1", leaving=True)
 OTHER_ZONE = make_server("n3", zone=ZoneName("north-2"))
@@ -147,18 +147,18 @@
     ("failures that are usual", (N1, S1), fail_as_usual, make_request(), "n1"),
     ("a long start where it was read", (N1, N2, S1), read_long_at(S1), make_request(prompt=LONG), "s1"),
     ("a long start whose engine is loaded", (N1, S1), lambda w: (read_long_at(S1)(w), w.loads.update(s1=BUSY)), make_request(prompt=LONG), "n1"),
-    ("a short one beside a long one that waits", (N1, N2), set_load(n1=LoadOf(1, 17_000, 17_000)), make_request(prompt=SHORT), "n2"),
-    ("a very long prompt beside other work", (N1,), set_load(n1=LoadOf(10, 100_000, 0)), make_request(prompt=VERY_LONG), "n1"),
+    ("a short one beside a long one that waits", (N1, N2), set_load(n1=ServerLoad(1, 17_000, 17_000)), make_request(prompt=SHORT), "n2"),
+    ("a very long prompt beside other work", (N1,), set_load(n1=ServerLoad(10, 100_000, 0)), make_request(prompt=VERY_LONG), "n1"),
     ("a very long prompt that would wait long", (N1,), set_load(n1=BUSY), make_request(prompt=VERY_LONG), "refused: deadline_unreachable"),
     ("a relayed one is given back sooner", (N1,), set_load(n1=LATE), make_request(NO_PAUSES, **RELAYED), "refused: deadline_unreachable"),
     ("where a caller's own is taken", (N1,), set_load(n1=LATE), make_request(NO_PAUSES), "n1"),
-    ("a relayed one in time is taken", (N1,), set_load(n1=LoadOf(3, 30_000, 22_000)), make_request(**RELAYED), "n1"),
+    ("a relayed one in time is taken", (N1,), set_load(n1=ServerLoad(3, 30_000, 22_000)), make_request(**RELAYED), "n1"),
 ]  # fmt: skip
 
 
 def test_a_server_that_its_own_region_doubts_is_passed_over():
     world = World(N1, S1, make_server("s2", "south"))
-    world.loads.update(n1=BUSY, s2=LoadOf(2, 4_000, 3_000))
+    world.loads.update(n1=BUSY, s2=ServerLoad(2, 4_000, 3_000))
     assert world.choose(make_request()) == "s1"
     world.doubted_there = {"s1"}
     assert world.choose(make_request()) == "s2"
@@ -166,7 +166,7 @@
 
 URGENT, PATIENT = make_route(priority=0), make_route(priority=2)
 # An engine reads for 240 ms before it comes to a new prompt.
-QUEUE = LoadOf(4, 30_000, 12_000)
+QUEUE = ServerLoad(4, 30_000, 12_000)
 DEMANDS = [
     # what came in the last second, what is asked for, chosen
     ("nothing", [], make_request(PATIENT, prompt=LONG), "n1"),
@@ -224,7 +224,7 @@
 def test_no_stream_that_has_begun_is_refused_for_load(row):
     _, request, has_begun, kind = row
     world = World(N1)
-    world.loads["n1"] = LoadOf(running=64, held_tokens=200_000, unread_tokens=200_000)
+    world.loads["n1"] = ServerLoad(running=64, held_tokens=200_000, unread_tokens=200_000)
     assert isinstance(world.chooser.choose(request, frozenset(), has_begun), kind)
 
 
@@ -299,7 +299,7 @@
     far = make_server("p2", "south", service=PLAIN, slots=2)
     world = World(near, far)
     assert world.choose(make_request(route, prompt=None)) == "p1"
-    world.loads["p1"] = LoadOf(running=9)
+    world.loads["p1"] = ServerLoad(running=9)
     assert world.choose(make_request(route, prompt=None)) == "p2"
 
 
--- a/sparline/placement/tests/test_observed.py
+++ b/sparline/placement/tests/test_observed.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sparline._ids import RegionName
-from sparline.fleet import LoadOf
+from sparline.fleet import ServerLoad
 from sparline.placement import (
     CreditTable,
     Doubt,
@@ -204,7 +204,7 @@
     assert credit.usual(ENGINES, long) == pytest.approx(1_300, rel=0.02)
 
 
-def make_placement(load: LoadOf | None = None, **changes) -> Placement:
+def make_placement(load: ServerLoad | None = None, **changes) -> Placement:
     values = {
         "server": N1,
         "peer": None,
@@ -214,7 +214,7 @@
         "effort_tokens": 400,
         "source": None,
         "loss": 0.1,
-        "load": load or LoadOf(),
+        "load": load or ServerLoad(),
         "load_age_ms": 0.0,
         "doubt": Doubt.NONE,
         "waits": False,
--- a/sparline/placement/tests/test_witnesses.py
+++ b/sparline/placement/tests/test_witnesses.py
@@ -1,7 +1,7 @@
 import pytest
 
 from sparline._ids import BackendServerId, RegionName
-from sparline.fleet import LoadOf
+from sparline.fleet import ServerLoad
 from sparline.placement import (
     ColdShares,
     HealthTable,
@@ -154,25 +154,25 @@
 
 
 def test_a_request_counts_until_it_ends():
-    changes: list[LoadOf] = []
+    changes: list[ServerLoad] = []
     loads = LoadTable(
         RegionName("north"), lambda _one: None, lambda _one, load, _shown: changes.append(load)
     )
     server = make_server("s1")
     reservation = loads.reserve(server, 100, 40)
-    assert loads.of(server) == LoadOf(1, 100, 40)
+    assert loads.of(server) == ServerLoad(1, 100, 40)
     reservation.note_first_event()
-    assert loads.of(server) == LoadOf(1, 100, 0)
+    assert loads.of(server) == ServerLoad(1, 100, 0)
     reservation.release()
     reservation.release()
-    assert loads.of(server) == LoadOf()
-    assert changes == [LoadOf(1, 100, 40), LoadOf(0, 0, -40), LoadOf(-1, -100, 0)]
+    assert loads.of(server) == ServerLoad()
+    assert changes == [ServerLoad(1, 100, 40), ServerLoad(0, 0, -40), ServerLoad(-1, -100, 0)]
 
 
 TOLD = [
-    ("more than its own", LoadOf(3, 300, 5), LoadOf(3, 300, 40)),
-    ("less than its own, not yet told", LoadOf(), LoadOf(1, 100, 40)),
-    ("nothing", None, LoadOf(1, 100, 40)),
+    ("more than its own", ServerLoad(3, 300, 5), ServerLoad(3, 300, 40)),
+    ("less than its own, not yet told", ServerLoad(), ServerLoad(1, 100, 40)),
+    ("nothing", None, ServerLoad(1, 100, 40)),
 ]
 
 
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -14,10 +14,10 @@
     GossipPort,
     GossipSources,
     LoadExchange,
-    LoadOf,
     LoadSources,
     Members,
     QuotaExchange,
+    ServerLoad,
     _gossip,
     _load_board,
     _load_exchange,
@@ -58,7 +58,7 @@
     gossip: GossipPort
     loads: LoadExchange
     crashes: CrashTable
-    own_loads: dict[str, LoadOf]  # what it has at each server of its region
+    own_loads: dict[str, ServerLoad]  # what it has at each server of its region
     cold: ColdShares
     server_limits: ServerLimitTable
     limits: LimitShares
@@ -117,12 +117,12 @@
         """End an instance without a word."""
         del self.instances[ip]
 
-    def change_load(self, ip: str, server_id: str, change: LoadOf) -> None:
+    def change_load(self, ip: str, server_id: str, change: ServerLoad) -> None:
         """Let an instance put something on a server of its region, or take it back."""
         one = self.instances[ip]
-        held = one.own_loads.get(server_id, LoadOf())
+        held = one.own_loads.get(server_id, ServerLoad())
         one.own_loads[server_id] = sum_loads((held, change))
-        if one.own_loads[server_id] == LoadOf():
+        if one.own_loads[server_id] == ServerLoad():
             del one.own_loads[server_id]
         one.gossip.tell(one.loads.note_change(server_id, change, None, True))
 
@@ -166,12 +166,12 @@
         phase = MemberPhase.starting if self.starting_ms else MemberPhase.live
         note = MemberNote(ip, ip, int(self.now_ms), 0, phase, region, zone_of(ip))
         members = Members(note)
-        own_loads: dict[str, LoadOf] = {}
+        own_loads: dict[str, ServerLoad] = {}
         loads = LoadExchange(
             members,
             LoadSources(
                 lambda: own_loads,
-                lambda server_id: own_loads.get(server_id, LoadOf()),
+                lambda server_id: own_loads.get(server_id, ServerLoad()),
                 list,
                 lambda _server_id: False,
                 lambda: self.servers.get(region, []),
