--- a/sparline/fleet/__init__.py
+++ b/sparline/fleet/__init__.py
@@ -12,7 +12,7 @@
 from sparline.fleet._crash_exchange import CrashExchange
 from sparline.fleet._fleet_state import FleetState
 from sparline.fleet._gossip import Datagram, GossipPort, GossipSources, make_note
-from sparline.fleet._load_board import LoadBoard, LoadReading
+from sparline.fleet._load_board import LoadReading, ServerLoadTable
 from sparline.fleet._load_exchange import LoadExchange, LoadSources, Outgoing
 from sparline.fleet._loads import ServerLoad, sum_loads
 from sparline.fleet._members import Member, Members
@@ -39,7 +39,7 @@
     "FleetState",
     "GossipPort",
     "GossipSources",
-    "LoadBoard",
+    "ServerLoadTable",
     "LoadExchange",
     "ServerLoad",
     "LoadReading",
--- a/sparline/fleet/_load_board.py
+++ b/sparline/fleet/_load_board.py
@@ -57,7 +57,7 @@
             )
 
 
-class LoadBoard:
+class ServerLoadTable:
     """Keep the newest reading of each backend server, from any source, and the changes since."""
 
     def __init__(self) -> None:
--- a/sparline/fleet/_load_exchange.py
+++ b/sparline/fleet/_load_exchange.py
@@ -13,7 +13,7 @@
 
 from sparline._clock import now_ms
 from sparline._ids import BackendServerId, RegionName
-from sparline.fleet._load_board import LOAD_MAX_AGE_MS, LoadBoard, LoadReading
+from sparline.fleet._load_board import LOAD_MAX_AGE_MS, LoadReading, ServerLoadTable
 from sparline.fleet._load_shares import Aggregators, ShareTable
 from sparline.fleet._loads import ServerLoad, read_load, sum_loads, write_load
 from sparline.fleet._members import Member, Members
@@ -91,7 +91,7 @@
 
     def __init__(self, members: Members, sources: LoadSources) -> None:
         """Create an exchange with the members of a fleet."""
-        self.board = LoadBoard()
+        self.board = ServerLoadTable()
         self._members = members
         self._sources = sources
         self._shares = ShareTable()
--- a/sparline/fleet/tests/test_load_board.py
+++ b/sparline/fleet/tests/test_load_board.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sparline._ids import BackendServerId
-from sparline.fleet import LoadBoard, LoadReading, ServerLoad, _load_board, sum_loads
+from sparline.fleet import LoadReading, ServerLoad, ServerLoadTable, _load_board, sum_loads
 
 SERVER = BackendServerId("e1")
 
@@ -15,7 +15,7 @@
     chance = random.Random(seed)
     now = [1_000_000.0]
     monkeypatch.setattr(_load_board, "now_ms", lambda: now[0])
-    board = LoadBoard()
+    board = ServerLoadTable()
     changes: list[tuple[float, ServerLoad]] = []
     reading = None
     covers = 0.0
