--- a/benchmarks/tests/test_replay.py
+++ b/benchmarks/tests/test_replay.py
@@ -12,7 +12,7 @@
 )
 from benchmarks._replay import replay_day
 from sparline.fleet import LoadExchange
-from sparline.fleet._load_exchange import Outgoing
+from sparline.fleet._load_exchange import LoadDatagram
 from sparline.fleet._loads import read_load
 from sparline.placement import Chooser, Placement
 from sparline.requests import RoutedRequest
@@ -85,7 +85,7 @@
     crowded = PATTERNS["short-requests-of-one-region"]
     told = replay_day(crowded, 24, 1)
 
-    def take_alone(self: LoadExchange, shares: LoadShares) -> list[Outgoing]:
+    def take_alone(self: LoadExchange, shares: LoadShares) -> list[LoadDatagram]:
         self._shares.take(shares)
         return []
 
--- a/sparline/fleet/__init__.py
+++ b/sparline/fleet/__init__.py
@@ -13,7 +13,7 @@
 from sparline.fleet._fleet_state import FleetState
 from sparline.fleet._gossip import Datagram, GossipPort, GossipSources, make_note
 from sparline.fleet._load_board import LoadReading, ServerLoadTable
-from sparline.fleet._load_exchange import LoadExchange, LoadSources, Outgoing
+from sparline.fleet._load_exchange import LoadDatagram, LoadExchange, LoadSources
 from sparline.fleet._loads import ServerLoad, sum_loads
 from sparline.fleet._members import Member, Members
 from sparline.fleet._quota_exchange import QuotaExchange
@@ -46,7 +46,7 @@
     "LoadSources",
     "Member",
     "Members",
-    "Outgoing",
+    "LoadDatagram",
     "QuotaExchange",
     "StoreAnswer",
     "StoreChange",
--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -16,7 +16,7 @@
 from sparline._ids import RegionName
 from sparline._logging import log
 from sparline.fleet._crash_exchange import CrashExchange
-from sparline.fleet._load_exchange import LoadExchange, Outgoing
+from sparline.fleet._load_exchange import LoadDatagram, LoadExchange
 from sparline.fleet._members import Member, Members
 from sparline.fleet._quota_exchange import QuotaDatagram, QuotaExchange
 from sparline.quarantine import CrashChange
@@ -264,7 +264,7 @@
         remote = [self._chance.choice(ips) for ips in self._ips_by_other_region()]
         self._send(remote, self._gossip_message(False))
 
-    def tell(self, outgoing: Iterable[Outgoing | QuotaDatagram]) -> None:
+    def tell(self, outgoing: Iterable[LoadDatagram | QuotaDatagram]) -> None:
         """Send load or quota datagrams immediately."""
         for one in outgoing:
             self._send(self._limit_randomly(one.peers, MAX_BROADCAST_PEERS), one.message)
--- a/sparline/fleet/_load_exchange.py
+++ b/sparline/fleet/_load_exchange.py
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outgoing:
+class LoadDatagram:
     """Hold a datagram to send and its recipients."""
 
     peers: list[str]  # recipient addresses
@@ -107,7 +107,7 @@
         change: ServerLoad,
         shown_log: float | None,
         is_same_region: bool,
-    ) -> list[Outgoing]:
+    ) -> list[LoadDatagram]:
         """Record a change of this instance's load on a server.
 
         `shown_log` is the logarithm of the slowdown factor measured in a prefill, if any. Returns
@@ -128,14 +128,14 @@
 
     def _broadcast_change(
         self, server_id: BackendServerId, change: ServerLoad, shown_log: float | None
-    ) -> list[Outgoing]:
+    ) -> list[LoadDatagram]:
         """Return the broadcast to siblings about a prefill that starts or ends, if any."""
         siblings = [one.note.ip for one in self._siblings()]
         is_long = abs(change.unread_tokens) >= ALWAYS_BROADCAST_TOKENS
         if not is_long and not self._broadcast_allowance.take(len(siblings) + 1):
             return []
         slower_milli = round((shown_log or 0.0) * MILLI)
-        return [Outgoing(siblings, LoadNews(write_load(server_id, change), slower_milli))]
+        return [LoadDatagram(siblings, LoadNews(write_load(server_id, change), slower_milli))]
 
     def _siblings(self) -> list[Member]:
         return self._members.live(RegionName(self._members.own.region))
@@ -145,7 +145,7 @@
         ips: Iterable[str],
         servers: list[BackendServerId],
         believed_running: int | None = None,
-    ) -> list[Outgoing]:
+    ) -> list[LoadDatagram]:
         own = self._members.own
         peers = [ip for ip in ips if ip != own.ip]
         if not peers or not servers:
@@ -154,9 +154,9 @@
         own_load, is_doubted = self._sources.own_load, self._sources.is_doubted
         notes = [LoadShareNote(write_load(one, own_load(one)), is_doubted(one)) for one in servers]
         shares = LoadShares(own.ip, own.incarnation, self._sequence, notes, believed_running)
-        return [Outgoing(peers, shares)]
+        return [LoadDatagram(peers, shares)]
 
-    def round(self) -> list[Outgoing]:
+    def round(self) -> list[LoadDatagram]:
         """Update the readings that this instance aggregates; return the shares due again."""
         self._round += 1
         own_ip = self._members.own.ip
@@ -242,7 +242,7 @@
             reading = LoadReading(at_ms, at_ms - transit_ms, read_load(note.load), note.doubted)
             self.board.take(server_id, reading)
 
-    def take_shares(self, message: LoadShares) -> list[Outgoing]:
+    def take_shares(self, message: LoadShares) -> list[LoadDatagram]:
         """Record a sibling's shares of servers that this instance aggregates.
 
         Returns an immediate correction if the sibling's estimate of a server's load is far off.
@@ -257,7 +257,7 @@
         deviation = abs(message.believed_running - reading.load.running)
         if deviation < max(CORRECTION_MIN_COUNT, CORRECTION_MIN_FRACTION * reading.load.running):
             return []
-        return [Outgoing([message.ip], LoadWord(_reading_notes([(server_id, reading)])[0]))]
+        return [LoadDatagram([message.ip], LoadWord(_reading_notes([(server_id, reading)])[0]))]
 
     def _is_established_aggregator(self, server_id: BackendServerId) -> bool:
         """Return whether this instance is a server's first aggregator, with all shares received."""
