--- a/sparline/fleet/__init__.py
+++ b/sparline/fleet/__init__.py
@@ -25,10 +25,10 @@
     StoreFaultKind,
     StoreReader,
 )
-from sparline.fleet._store_watchers import WATCHERS_A_ZONE, watches_store
+from sparline.fleet._store_watchers import WATCHERS_PER_ZONE, watches_store
 
 __all__ = [
-    "WATCHERS_A_ZONE",
+    "WATCHERS_PER_ZONE",
     "BackendServer",
     "BackendServerItem",
     "BadItem",
--- a/sparline/fleet/_store_watchers.py
+++ b/sparline/fleet/_store_watchers.py
@@ -8,7 +8,7 @@
 # Number of instances per availability zone that watch the store. Each watch that ends costs a call,
 # and each change ends all watches: 195 watchers made 2,462 calls on a quiet day. With three, the
 # other instances still learn of a change while one watcher stops and the store rejects another.
-WATCHERS_A_ZONE = 3
+WATCHERS_PER_ZONE = 3
 # A member silent for this long no longer counts as a watcher (ms): a new configuration has to take
 # effect everywhere within 5 s, even if the watchers are lost when it is published.
 WATCHER_TIMEOUT_MS = 1_500.0
@@ -19,7 +19,7 @@
     own = members.own
     zone = [one.note.ip for one in members.others() if _may_watch(one, own.availability_zone)]
     order = sorted([*zone, own.ip], key=lambda ip: hash64(f"store/{ip}"), reverse=True)
-    return own.ip in order[:WATCHERS_A_ZONE]
+    return own.ip in order[:WATCHERS_PER_ZONE]
 
 
 def _may_watch(member: Member, zone: str) -> bool:
--- a/sparline/fleet/tests/test_store_watchers.py
+++ b/sparline/fleet/tests/test_store_watchers.py
@@ -1,6 +1,6 @@
 import pytest
 
-from sparline.fleet import WATCHERS_A_ZONE, Members, _members, _store_watchers, watches_store
+from sparline.fleet import WATCHERS_PER_ZONE, Members, _members, _store_watchers, watches_store
 from sparline.schema._gossip import Gossip, MemberNote, MemberPhase
 
 SIZE = 12
@@ -49,7 +49,7 @@
 
 
 def test_all_instances_of_a_zone_agree_on_its_watchers(zone):
-    assert len(zone.watching()) == WATCHERS_A_ZONE
+    assert len(zone.watching()) == WATCHERS_PER_ZONE
 
 
 def test_instances_of_another_zone_do_not_affect_the_watchers(zone):
@@ -57,7 +57,7 @@
         for number in range(SIZE):
             other = note(f"10.1.0.{number}", zone="north-2")
             members.take(Gossip(other, 1, True, [], [], [], [], False))
-    assert len(zone.watching()) == WATCHERS_A_ZONE
+    assert len(zone.watching()) == WATCHERS_PER_ZONE
 
 
 def test_lost_watchers_are_replaced_before_they_count_as_silent(zone, clock):
@@ -66,7 +66,7 @@
     clock.now += _store_watchers.WATCHER_TIMEOUT_MS + 1
     zone.hear(others)
     watching = {ip for ip in others if watches_store(zone.members[ip])}
-    assert len(watching) == WATCHERS_A_ZONE
+    assert len(watching) == WATCHERS_PER_ZONE
 
 
 def test_all_instances_watch_when_the_store_rejects_a_watcher(zone):
@@ -77,7 +77,7 @@
     assert zone.watching() == set(zone.ips)
     # Once their own reports reach each other, the usual number keep watching.
     zone.hear(zone.ips, {ip: ip != turned_away for ip in zone.ips})
-    assert len(zone.watching() - {turned_away}) == WATCHERS_A_ZONE
+    assert len(zone.watching() - {turned_away}) == WATCHERS_PER_ZONE
 
 
 def test_instance_without_known_members_watches():
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -15,7 +15,7 @@
 from sparline._logging import log
 from sparline._wsgi import Environ, StartResponse, make_server
 from sparline.fleet import (
-    WATCHERS_A_ZONE,
+    WATCHERS_PER_ZONE,
     BackendServer,
     CrashExchange,
     FleetState,
@@ -128,7 +128,7 @@
             self.copy,
             lambda call, result: self.metrics.store_calls.labels(call, result).inc(),
             self._newest_peer_revision,
-            lambda: WATCHERS_A_ZONE * len(zones),
+            lambda: WATCHERS_PER_ZONE * len(zones),
             lambda: watches_store(self.members),
         )
         self._relay_port = split_address(settings.listen.relay)[1]
