--- a/sparline/fleet/__init__.py
+++ b/sparline/fleet/__init__.py
@@ -25,7 +25,7 @@
     StoreFaultKind,
     StoreReader,
 )
-from sparline.fleet._store_watchers import WATCHERS_PER_ZONE, watches_store
+from sparline.fleet._store_watchers import WATCHERS_PER_ZONE, is_store_watcher
 
 __all__ = [
     "WATCHERS_PER_ZONE",
@@ -59,5 +59,5 @@
     "UnknownItem",
     "make_note",
     "sum_loads",
-    "watches_store",
+    "is_store_watcher",
 ]
--- a/sparline/fleet/_store_watchers.py
+++ b/sparline/fleet/_store_watchers.py
@@ -14,7 +14,7 @@
 WATCHER_TIMEOUT_MS = 1_500.0
 
 
-def watches_store(members: Members) -> bool:
+def is_store_watcher(members: Members) -> bool:
     """Return whether this instance is one of its availability zone's store watchers."""
     own = members.own
     zone = [one.note.ip for one in members.others() if _may_watch(one, own.availability_zone)]
--- a/sparline/fleet/tests/test_store_watchers.py
+++ b/sparline/fleet/tests/test_store_watchers.py
@@ -1,6 +1,6 @@
 import pytest
 
-from sparline.fleet import WATCHERS_PER_ZONE, Members, _members, _store_watchers, watches_store
+from sparline.fleet import WATCHERS_PER_ZONE, Members, _members, _store_watchers, is_store_watcher
 from sparline.schema._gossip import Gossip, MemberNote, MemberPhase
 
 SIZE = 12
@@ -26,7 +26,7 @@
                 members.take(told)
 
     def watching(self) -> set[str]:
-        return {ip for ip, members in self.members.items() if watches_store(members)}
+        return {ip for ip, members in self.members.items() if is_store_watcher(members)}
 
 
 def note(ip: str, counter: int = 1, zone: str = "north-1") -> MemberNote:
@@ -65,7 +65,7 @@
     others = [ip for ip in zone.ips if ip not in lost]
     clock.now += _store_watchers.WATCHER_TIMEOUT_MS + 1
     zone.hear(others)
-    watching = {ip for ip in others if watches_store(zone.members[ip])}
+    watching = {ip for ip in others if is_store_watcher(zone.members[ip])}
     assert len(watching) == WATCHERS_PER_ZONE
 
 
@@ -81,4 +81,4 @@
 
 
 def test_instance_without_known_members_watches():
-    assert watches_store(Members(note("10.0.0.1")))
+    assert is_store_watcher(Members(note("10.0.0.1")))
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -28,8 +28,8 @@
     ServerLoad,
     StoreCopyTable,
     StoreReader,
+    is_store_watcher,
     make_note,
-    watches_store,
 )
 from sparline.forwarding import (
     AttemptTools,
@@ -129,7 +129,7 @@
             lambda call, result: self.metrics.store_calls.labels(call, result).inc(),
             self._newest_peer_revision,
             lambda: WATCHERS_PER_ZONE * len(zones),
-            lambda: watches_store(self.members),
+            lambda: is_store_watcher(self.members),
         )
         self._relay_port = split_address(settings.listen.relay)[1]
         needed_until_ms = NEEDED_UNTIL * settings.grace_s * 1000
--- a/sparline/gateway/tests/test_fleet.py
+++ b/sparline/gateway/tests/test_fleet.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from sparline.fleet import watches_store
+from sparline.fleet import is_store_watcher
 from sparline.placement import Refusal
 from sparline.requests import Reason, RoutedRequest
 from sparline.tests.routed_fleet import RoutedFleet
@@ -312,7 +312,7 @@
     with RoutedFleet(places=("north-1",) * 5) as one:
         one.ready()
         one.until(
-            lambda: sum(watches_store(each.members) for each in one.gateways.values()) == 3,
+            lambda: sum(is_store_watcher(each.members) for each in one.gateways.values()) == 3,
             "three watch the store",
         )
         one.ready(2)
