--- a/sparline/fleet/_store_reader.py
+++ b/sparline/fleet/_store_reader.py
@@ -154,7 +154,7 @@
                 return
             gevent.sleep(WATCHER_CHECK_MS / 1000)
 
-    def note_peers_fault(self, ago_ms: float) -> None:
+    def record_peer_fault(self, ago_ms: float) -> None:
         """Record a store fault seen by the peer whose copy was applied."""
         self.disturbed_at_ms = max(self.disturbed_at_ms, now_ms() - ago_ms)
 
--- a/sparline/fleet/tests/test_store.py
+++ b/sparline/fleet/tests/test_store.py
@@ -374,6 +374,6 @@
     reader = StoreReader(ScriptedStore(), copy_of({}), lambda _call, _result: None, lambda: 0)
     state._disturbed_ago_ms = lambda: clock[0] - reader.disturbed_at_ms
     put(state, b"server", key="servers/s1")
-    reader.note_peers_fault(1_000.0)
+    reader.record_peer_fault(1_000.0)
     state.take(StoreChange("servers/s1", 9, None))
     assert SERVER.id in state.servers
--- a/sparline/gateway/_store_sync.py
+++ b/sparline/gateway/_store_sync.py
@@ -82,7 +82,7 @@
             case Ok(copy):
                 if copy.disturbed_ago_ms is not None:
                     # Before the items: what lapsed while the store was away is not gone yet.
-                    self._reader.note_peers_fault(copy.disturbed_ago_ms)
+                    self._reader.record_peer_fault(copy.disturbed_ago_ms)
                 self._copy.take_copy(copy)
                 self._note(peer, "taken", f"revision {copy.revision}")
 
