--- a/sparline/fleet/_store_reader.py
+++ b/sparline/fleet/_store_reader.py
@@ -109,7 +109,7 @@
         store, and `watches` whether this one does.
         """
         self.answered_at_ms = 0.0  # time of the store's last response, 0 for never
-        self.disturbed_at_ms = 0.0  # time of the last failed call, 0 for never
+        self.last_fault_at_ms = 0.0  # time of the last failed call, 0 for never
         self._client = client
         self._copy = copy
         self._on_call = on_call
@@ -124,7 +124,7 @@
     def reached(self) -> bool:
         """Return whether the store responded recently and no call has failed since."""
         fresh = now_ms() - self.answered_at_ms < REACHED_MS
-        return self.answered_at_ms > self.disturbed_at_ms and fresh
+        return self.answered_at_ms > self.last_fault_at_ms and fresh
 
     def needs_peers(self) -> bool:
         """Return whether this instance gets store changes from peers instead of the store."""
@@ -156,7 +156,7 @@
 
     def record_peer_fault(self, ago_ms: float) -> None:
         """Record a store fault seen by the peer whose copy was applied."""
-        self.disturbed_at_ms = max(self.disturbed_at_ms, now_ms() - ago_ms)
+        self.last_fault_at_ms = max(self.last_fault_at_ms, now_ms() - ago_ms)
 
     def _handle_answer(
         self,
@@ -177,7 +177,7 @@
                 self._record_fault(call, fault)
 
     def _watch_delay_ms(self) -> float:
-        if now_ms() - self.disturbed_at_ms < RECOVERY_MS:
+        if now_ms() - self.last_fault_at_ms < RECOVERY_MS:
             return MIN_WATCH_DELAY_MS
         delay_ms = WATCH_DELAY_PER_WATCHER_MS * self._watchers()
         return min(max(delay_ms, MIN_WATCH_DELAY_MS), MAX_WATCH_DELAY_MS)
@@ -194,7 +194,7 @@
             self._needs_full_read = True
             return
         self._failures += 1
-        self.disturbed_at_ms = now_ms()
+        self.last_fault_at_ms = now_ms()
         if self._failures == 1:
             log.bind(call=call, fault=fault.kind.value, text=fault.text).warning("store_lost")
         backoff_ms = min(INITIAL_BACKOFF_MS * 2**self._failures, MAX_BACKOFF_MS)
@@ -213,6 +213,6 @@
         log.bind(revision=self._copy.revision, peers=self._newest_peer_revision()).info(
             "store_watch_behind"
         )
-        self.disturbed_at_ms = now_ms()
+        self.last_fault_at_ms = now_ms()
         self._client.interrupt()
         return True
--- a/sparline/fleet/tests/test_store.py
+++ b/sparline/fleet/tests/test_store.py
@@ -283,7 +283,7 @@
     reader = StoreReader(
         store, copy_of({}), lambda _call, _result: None, lambda: 0, lambda: instances
     )
-    reader.disturbed_at_ms = 2e9 - since_fault_ms
+    reader.last_fault_at_ms = 2e9 - since_fault_ms
     with pytest.raises(IndexError):
         reader.run()
     assert waits == [wait_ms]
@@ -372,7 +372,7 @@
     for module in (_fleet_state, _store_reader):
         monkeypatch.setattr(module, "now_ms", lambda: clock[0])
     reader = StoreReader(ScriptedStore(), copy_of({}), lambda _call, _result: None, lambda: 0)
-    state._disturbed_ago_ms = lambda: clock[0] - reader.disturbed_at_ms
+    state._disturbed_ago_ms = lambda: clock[0] - reader.last_fault_at_ms
     put(state, b"server", key="servers/s1")
     reader.record_peer_fault(1_000.0)
     state.take(StoreChange("servers/s1", 9, None))
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -306,11 +306,11 @@
         self.gossip.tell_crash(change)
 
     def _store_fault_ago_ms(self) -> float | None:
-        at_ms = self.reader.disturbed_at_ms
+        at_ms = self.reader.last_fault_at_ms
         return now_ms() - at_ms if at_ms else None
 
     def _disturbed_ago_ms(self) -> float:
-        return now_ms() - self.reader.disturbed_at_ms
+        return now_ms() - self.reader.last_fault_at_ms
 
     def _newest_peer_revision(self) -> int:
         return max((one.store_revision for one in self.members.live()), default=0)
