--- a/sparline/fleet/_store_reader.py
+++ b/sparline/fleet/_store_reader.py
@@ -200,7 +200,7 @@
         backoff_ms = min(INITIAL_BACKOFF_MS * 2**self._failures, MAX_BACKOFF_MS)
         gevent.sleep(self._chance.uniform(0.5, 1.0) * backoff_ms / 1000)
 
-    def check_behind(self) -> bool:
+    def interrupt_stale_watch(self) -> bool:
         """Abort a dead watch if peers hold newer revisions; return whether it was aborted."""
         if not self._watches() or self._newest_peer_revision() <= self._copy.revision:
             self._behind_since_ms = None
--- a/sparline/fleet/tests/test_store.py
+++ b/sparline/fleet/tests/test_store.py
@@ -241,13 +241,13 @@
     store = ScriptedStore()
     newest = [5]
     reader = StoreReader(store, copy_of({}), lambda _call, _result: None, lambda: newest[0])
-    assert not reader.check_behind()
+    assert not reader.interrupt_stale_watch()
     clock[0] += _store_reader.BEHIND_MS + _store_reader.MIN_WATCH_DELAY_MS + 1
-    assert reader.check_behind()
+    assert reader.interrupt_stale_watch()
     assert store.calls == ["interrupt"]
     newest[0] = 0
     clock[0] += _store_reader.BEHIND_MS + _store_reader.MIN_WATCH_DELAY_MS + 1
-    assert not reader.check_behind()
+    assert not reader.interrupt_stale_watch()
 
 
 def test_watches_that_start_together_time_out_at_different_times(monkeypatch):
--- a/sparline/gateway/_store_sync.py
+++ b/sparline/gateway/_store_sync.py
@@ -42,7 +42,7 @@
         """Compare for as long as the process lives."""
         while True:
             gevent.sleep(COMPARE_MS / 1000)
-            behind = self._reader.check_behind()
+            behind = self._reader.interrupt_stale_watch()
             if behind or self._reader.needs_peers():
                 self._pull()
 
