--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -195,7 +195,7 @@
                 self._note_shown,
             ),
         )
-        told = world.true_load if Known.LOADS in world.known else self.exchange.board.load
+        told = world.true_load if Known.LOADS in world.known else self.exchange.load_table.load
         self.loads = LoadTable(RegionName(region), told, self._note_load)
         instances = world.draw.instances_a_region
         sends = 1 if Known.STARTS in world.known else instances
@@ -240,8 +240,8 @@
             sharing=lambda: asks,
             peers=self._peers,
             round_trip_ms=lambda other: 2 * world.way_ms(region, other),
-            load_age_ms=self.exchange.board.age_ms,
-            is_doubted_there=self.exchange.board.is_doubted,
+            load_age_ms=self.exchange.load_table.age_ms,
+            is_doubted_there=self.exchange.load_table.is_doubted,
         )
         chance = random.Random(f"{world.draw.seed}/{ip}")
         self._chooser = make(OwnPlace(RegionName(region), ZoneName(zone)), tables, chance)
--- a/benchmarks/_views.py
+++ b/benchmarks/_views.py
@@ -138,14 +138,16 @@
             list(fleet.instances.values()), min(9, len(fleet.instances))
         ):
             began_s = time.perf_counter()
-            known = {server: one.loads.board.load(server) or ServerLoad() for server in servers}
+            known = {
+                server: one.loads.load_table.load(server) or ServerLoad() for server in servers
+            }
             look_s += time.perf_counter() - began_s
             looks += 1
             for server in servers:
                 error += abs(known[server].running - traffic.running[server])
                 blind += abs(mean - traffic.running[server])
                 total += traffic.running[server]
-                age += one.loads.board.age_ms(server) or 0.0
+                age += one.loads.load_table.age_ms(server) or 0.0
                 samples += 1
     return ViewError(error / total, blind / total, age / samples, 1000 * look_s / looks)
 
--- a/benchmarks/tests/test_replay.py
+++ b/benchmarks/tests/test_replay.py
@@ -60,7 +60,7 @@
     told = replay_day(twice, 24, 2).share
 
     def take_load_alone(self: LoadExchange, news: LoadNews) -> None:
-        self.board.note_change(news.change.backend_server, read_load(news.change))
+        self.load_table.note_change(news.change.backend_server, read_load(news.change))
 
     monkeypatch.setattr(LoadExchange, "take_news", take_load_alone)
     assert told > replay_day(twice, 24, 2).share + 0.1
--- a/sparline/fleet/_load_exchange.py
+++ b/sparline/fleet/_load_exchange.py
@@ -91,7 +91,7 @@
 
     def __init__(self, members: Members, sources: LoadSources) -> None:
         """Create an exchange with the members of a fleet."""
-        self.board = ServerLoadTable()
+        self.load_table = ServerLoadTable()
         self._members = members
         self._sources = sources
         self._shares = ShareTable()
@@ -113,13 +113,13 @@
         `shown_log` is the logarithm of the slowdown factor measured in a prefill, if any. Returns
         the datagrams to send immediately.
         """
-        self.board.note_change(server_id, change)
+        self.load_table.note_change(server_id, change)
         if not is_same_region:
             # The instance of that region that receives the request reports it.
             return []
         outgoing = []
         if change.running or abs(change.unread_tokens) >= IMMEDIATE_SHARE_TOKENS:
-            believed = self.board.load(server_id) if change.running > 0 else None
+            believed = self.load_table.load(server_id) if change.running > 0 else None
             running = None if believed is None else believed.running
             outgoing += self._share_datagrams(self._aggregators.of(server_id), [server_id], running)
         if abs(change.unread_tokens) >= MIN_BROADCAST_TOKENS:
@@ -166,7 +166,7 @@
         if self._round % SHARE_REFRESH_ROUNDS:
             return []
         self._shares.forget_old()
-        self.board.forget_old()
+        self.load_table.forget_old()
         by_peer: dict[str, list[BackendServerId]] = {}
         for server_id in {**self._sources.own_loads(), **dict.fromkeys(self._sources.doubted())}:
             for ip in self._aggregators.of(server_id):
@@ -189,7 +189,7 @@
                 server_id, aggregators[0] == own_ip, now - aggregated[server_id]
             ):
                 continue
-            self.board.take(server_id, self._aggregate(server_id, now))
+            self.load_table.take(server_id, self._aggregate(server_id, now))
         self._aggregator_since_ms = aggregated
         self._aggregators.retain(set(self._sources.region_servers()))
 
@@ -206,7 +206,7 @@
         An instance that has heard siblings but received no reading from them started together with
         them.
         """
-        if self.board.newer_than(LOAD_MAX_AGE_MS):
+        if self.load_table.newer_than(LOAD_MAX_AGE_MS):
             return True
         return not self._siblings()
 
@@ -216,13 +216,13 @@
         """Return whether this instance should publish its sum for a server."""
         if role_age_ms < AGGREGATOR_WARM_UP_MS:
             return False
-        age_ms = self.board.age_ms(server_id)
+        age_ms = self.load_table.age_ms(server_id)
         return is_first or age_ms is None or age_ms >= TAKEOVER_AGE_MS
 
     def readings_for(self, is_same_region: bool) -> list[LoadReadingNote]:
         """Return the readings to send to a peer of the own region, or of another."""
         own_servers = set(self._sources.region_servers())
-        fresh = self.board.newer_than(RELAY_MAX_AGE_MS)
+        fresh = self.load_table.newer_than(RELAY_MAX_AGE_MS)
         own_region = [pair for pair in fresh if pair[0] in own_servers]
         if not is_same_region:
             return _reading_notes(own_region[:MAX_CROSS_REGION_READINGS])
@@ -240,7 +240,7 @@
             transit_ms = REGION_TRANSIT_MS if server_id in own_servers else CROSS_REGION_TRANSIT_MS
             at_ms = now - max(note.age_ms, 0)
             reading = LoadReading(at_ms, at_ms - transit_ms, read_load(note.load), note.doubted)
-            self.board.take(server_id, reading)
+            self.load_table.take(server_id, reading)
 
     def take_shares(self, message: LoadShares) -> list[LoadDatagram]:
         """Record a sibling's shares of servers that this instance aggregates.
@@ -269,7 +269,7 @@
     def take_news(self, news: LoadNews) -> None:
         """Record a sibling's change of a server's load and the slowdown measured, if any."""
         server_id = BackendServerId(news.change.backend_server)
-        self.board.note_change(server_id, read_load(news.change))
+        self.load_table.note_change(server_id, read_load(news.change))
         if news.slower_milli:
             self._sources.note_shown(server_id, news.slower_milli / MILLI)
 
--- a/sparline/fleet/tests/test_load_board.py
+++ b/sparline/fleet/tests/test_load_board.py
@@ -15,7 +15,7 @@
     chance = random.Random(seed)
     now = [1_000_000.0]
     monkeypatch.setattr(_load_board, "now_ms", lambda: now[0])
-    board = ServerLoadTable()
+    load_table = ServerLoadTable()
     changes: list[tuple[float, ServerLoad]] = []
     reading = None
     covers = 0.0
@@ -25,15 +25,15 @@
             # The time that readings cover never decreases.
             covers = max(covers, now[0] - chance.uniform(0, 300))
             reading = LoadReading(now[0], covers, ServerLoad(500, 90_000, 9_000), False)
-            board.take(SERVER, reading)
+            load_table.take(SERVER, reading)
         else:
             sign = chance.choice((1, -1))
             change = ServerLoad(sign, sign * chance.randrange(500), sign * chance.randrange(50))
-            board.note_change(SERVER, change)
+            load_table.note_change(SERVER, change)
             changes.append((now[0], change))
         if reading is None or reading.at_ms < now[0] - _load_board.LOAD_MAX_AGE_MS:
             continue
         since = max(now[0] - _load_board.LOAD_MAX_AGE_MS, reading.covers_until_ms)
-        board.forget_old()
+        load_table.forget_old()
         counted = [load for at_ms, load in changes if at_ms > since]
-        assert board.load(SERVER) == sum_loads((reading.load, *counted))
+        assert load_table.load(SERVER) == sum_loads((reading.load, *counted))
--- a/sparline/fleet/tests/test_load_exchange.py
+++ b/sparline/fleet/tests/test_load_exchange.py
@@ -87,7 +87,7 @@
             self.loads.round()
 
     def known_load(self, server: str) -> ServerLoad | None:
-        return self.loads.board.load(server)
+        return self.loads.load_table.load(server)
 
 
 @pytest.fixture
@@ -260,7 +260,7 @@
 def test_server_is_doubted_if_its_newest_reading_says_so(one, clock, doubted, later_ms, is_doubted):
     receive_reading(one, one.others, 0, doubted=doubted)
     clock.now += later_ms
-    assert one.loads.board.is_doubted(one.others) is is_doubted
+    assert one.loads.load_table.is_doubted(one.others) is is_doubted
 
 
 def test_doubt_of_one_sibling_is_in_the_reading_until_withdrawn(one, clock):
@@ -271,10 +271,10 @@
     one.pass_ms(clock, 1_500)
     one.loads.take_shares(doubting)
     one.pass_ms(clock, 250)
-    assert one.loads.board.is_doubted(one.mine)
+    assert one.loads.load_table.is_doubted(one.mine)
     one.loads.take_shares(shares(one.mine, ServerLoad(), sequence=2))
     one.pass_ms(clock, 250)
-    assert not one.loads.board.is_doubted(one.mine)
+    assert not one.loads.load_table.is_doubted(one.mine)
 
 
 def test_instance_without_known_siblings_publishes_no_loads(clock):
@@ -302,7 +302,7 @@
 
 def test_new_aggregator_keeps_the_existing_reading_at_first(one, clock):
     one.loads._aggregator_since_ms.clear()
-    one.loads.board.take(one.mine, LoadReading(clock.now + 1, clock.now + 1, READING, False))
+    one.loads.load_table.take(one.mine, LoadReading(clock.now + 1, clock.now + 1, READING, False))
     one.pass_ms(clock, 1_000)
     assert one.known_load(one.mine) == READING
     one.pass_ms(clock, 750)
@@ -409,7 +409,9 @@
 
 def test_estimate_is_sent_when_a_request_starts_but_not_when_it_ends(one, clock):
     one.pass_ms(clock, 2_000)
-    one.loads.board.take(one.others, LoadReading(clock.now, clock.now, ServerLoad(7, 0, 0), False))
+    one.loads.load_table.take(
+        one.others, LoadReading(clock.now, clock.now, ServerLoad(7, 0, 0), False)
+    )
     clock.now += 10
     (came,) = one.loads.note_change(one.others, SHORT, None, True)
     (went,) = one.loads.note_change(one.others, ServerLoad(-1, -400, -300), None, True)
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -200,8 +200,8 @@
                 lambda server_id, shown_log: self.pace.note_shown(server_id, shown_log),
             ),
         )
-        board = self.load_exchange.board
-        self.loads = LoadTable(region, board.load, self._note_load)
+        load_table = self.load_exchange.load_table
+        self.loads = LoadTable(region, load_table.load, self._note_load)
         self.server_limits = ServerLimitTable(self.request_log.note_server_limit)
         self.cache = PromptCache(
             owners_have_read=not self.settings.first_start,
@@ -232,8 +232,8 @@
             sharing=lambda: len(self.members.live(region)) + 1,
             peers=self.peers.usable,
             round_trip_ms=self.peers.round_trip_ms,
-            load_age_ms=board.age_ms,
-            is_doubted_there=board.is_doubted,
+            load_age_ms=load_table.age_ms,
+            is_doubted_there=load_table.is_doubted,
         )
         place = OwnPlace(region, ZoneName(self.settings.availability_zone))
         self.chooser = Chooser(place, tables, random.Random())
