--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -179,7 +179,7 @@
             # With the round-robin rounds alone, some siblings would not know a new instance for a
             # second or two, and would divide shared limits without it.
             self._greet(self._members.new_siblings)
-        wanted = self._not_yet_requested(self._members.strangers)
+        wanted = self._not_yet_requested(self._members.unknown_keys)
         if wanted:
             # The sender relayed their heartbeats, so it can describe them.
             self._send([gossip.sender.ip], self._gossip_message(same_region, wanted=wanted))
--- a/sparline/fleet/tests/test_members.py
+++ b/sparline/fleet/tests/test_members.py
@@ -68,7 +68,7 @@
 
 def test_unknown_instance_in_a_heartbeat_is_recorded(members):
     members.take(gossip(note("a"), beats=[beat("c", 1, 1)]))
-    assert members.strangers == [member_key("c")]
+    assert members.unknown_keys == [member_key("c")]
 
 
 TIMEOUTS = [
