--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -175,10 +175,10 @@
         elif gossip.wanted:
             described = self._members.described(gossip.wanted[:MAX_DESCRIBED_MEMBERS])
             self._send([gossip.sender.ip], self._gossip_message(same_region, described))
-        if self._members.new_siblings:
+        if self._members.discovered_siblings:
             # With the round-robin rounds alone, some siblings would not know a new instance for a
             # second or two, and would divide shared limits without it.
-            self._greet(self._members.new_siblings)
+            self._greet(self._members.discovered_siblings)
         wanted = self._not_yet_requested(self._members.unknown_keys)
         if wanted:
             # The sender relayed their heartbeats, so it can describe them.
--- a/sparline/fleet/_members.py
+++ b/sparline/fleet/_members.py
@@ -59,7 +59,7 @@
         self.own = own
         self.own_phase_at_ms = now_ms()  # when this instance entered its current phase
         self.unknown_keys: list[int] = []  # keys of unknown instances in the last datagram
-        self.new_siblings: list[str] = []  # addresses of siblings new in the last datagram
+        self.discovered_siblings: list[str] = []  # addresses of siblings new in the last datagram
         self._alone_until_ms = now_ms()  # when the first other was heard; before that, own start
         self._others: dict[str, Member] = {}
         self._ip_by_key: dict[int, str] = {}  # address by heartbeat key
@@ -79,7 +79,9 @@
         member.store_revision = gossip.store_revision
         member.store_reached = gossip.store_reached
         member.told_at_ms = now_ms()
-        self.new_siblings = [one.ip for one in gossip.members if self._merge_relayed_note(one)]
+        self.discovered_siblings = [
+            one.ip for one in gossip.members if self._merge_relayed_note(one)
+        ]
         self.unknown_keys = [beat.key for beat in gossip.beats if not self._merge_heartbeat(beat)]
         return is_new
 
