--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -377,8 +377,8 @@
 
     def _heartbeats(self, same_region: bool) -> list[MemberBeat]:
         if same_region:
-            return self._limit_randomly(self._members.heard_lately(), MAX_RELAYED_HEARTBEATS)
-        own_region = self._members.heard_lately(RegionName(self._members.own.region))
+            return self._limit_randomly(self._members.recent_heartbeats(), MAX_RELAYED_HEARTBEATS)
+        own_region = self._members.recent_heartbeats(RegionName(self._members.own.region))
         return self._limit_randomly(own_region, MAX_CROSS_REGION_HEARTBEATS)
 
     def _sample_members(self, region: str) -> list[MemberNote]:
--- a/sparline/fleet/_members.py
+++ b/sparline/fleet/_members.py
@@ -98,7 +98,7 @@
             )
         return True
 
-    def heard_lately(self, region: RegionName | None = None) -> list[MemberBeat]:
+    def recent_heartbeats(self, region: RegionName | None = None) -> list[MemberBeat]:
         """Return the heartbeats of one region, or of all, that are recent enough to be relayed."""
         since = now_ms() - RELAY_MAX_AGE_MS
         return [
