--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -173,8 +173,8 @@
             # Instances of other regions learn of this one from the region's representatives.
             self._greet([gossip.sender.ip])
         elif gossip.wanted:
-            described = self._members.described(gossip.wanted[:MAX_DESCRIBED_MEMBERS])
-            self._send([gossip.sender.ip], self._gossip_message(same_region, described))
+            requested_notes = self._members.requested_notes(gossip.wanted[:MAX_DESCRIBED_MEMBERS])
+            self._send([gossip.sender.ip], self._gossip_message(same_region, requested_notes))
         if self._members.discovered_siblings:
             # With the round-robin rounds alone, some siblings would not know a new instance for a
             # second or two, and would divide shared limits without it.
--- a/sparline/fleet/_members.py
+++ b/sparline/fleet/_members.py
@@ -143,7 +143,7 @@
         known.since_ms = since_ms
         return known
 
-    def described(self, keys: Iterable[int]) -> list[MemberNote]:
+    def requested_notes(self, keys: Iterable[int]) -> list[MemberNote]:
         """Return the notes of the known members among the requested keys."""
         known = [self._others.get(self._ip_by_key.get(key, "")) for key in keys]
         return [one.note for one in known if one is not None]
