--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -240,7 +240,7 @@
         they would not discover each other for 6 s, until they probe silent members.
         """
         by_region: dict[str, list[str]] = {}
-        for one in self._members.awake():
+        for one in self._members.starting_or_live():
             if one.note.region != self._members.own.region:
                 by_region.setdefault(one.note.region, []).append(one.note.ip)
         return [by_region[region] for region in sorted(by_region)]
--- a/sparline/fleet/_members.py
+++ b/sparline/fleet/_members.py
@@ -156,7 +156,7 @@
         """Return the other instances that accept work, of one region or of all."""
         return [one for one in self._not_timed_out(region) if one.note.phase is MemberPhase.live]
 
-    def awake(self) -> list[Member]:
+    def starting_or_live(self) -> list[Member]:
         """Return the other instances that accept work or are about to."""
         return [
             one for one in self._not_timed_out(None) if one.note.phase is not MemberPhase.leaving
