--- a/sparline/fleet/_members.py
+++ b/sparline/fleet/_members.py
@@ -43,7 +43,7 @@
     met: bool = False  # whether it has sent a datagram to this instance
     store_revision: int = 0  # store revision that it holds
     store_reached: bool = False  # whether the store recently responded to it
-    told_at_ms: float = 0.0  # when it last sent a datagram to this instance
+    datagram_at_ms: float = 0.0  # when it last sent a datagram to this instance
 
     @property
     def region(self) -> RegionName:
@@ -78,7 +78,7 @@
         member.met = True
         member.store_revision = gossip.store_revision
         member.store_reached = gossip.store_reached
-        member.told_at_ms = now_ms()
+        member.datagram_at_ms = now_ms()
         self.discovered_siblings = [
             one.ip for one in gossip.members if self._merge_relayed_note(one)
         ]
@@ -230,7 +230,7 @@
     def is_store_reached(self) -> bool:
         """Return whether any live member recently reported that the store responds to it."""
         since = now_ms() - STORE_REPORT_MAX_AGE_MS
-        return any(one.store_reached and one.told_at_ms >= since for one in self.live())
+        return any(one.store_reached and one.datagram_at_ms >= since for one in self.live())
 
     def forget_old(self) -> None:
         """Remove members that have been silent for longer than the retention time."""
--- a/sparline/fleet/_store_watchers.py
+++ b/sparline/fleet/_store_watchers.py
@@ -30,4 +30,4 @@
         return False
     # An instance that the store rejects, or that does not watch it, reports the store as unreached.
     # All other instances of the zone then watch until their own reports reach each other.
-    return member.store_reached or now - member.told_at_ms > STORE_REPORT_MAX_AGE_MS
+    return member.store_reached or now - member.datagram_at_ms > STORE_REPORT_MAX_AGE_MS
