--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -33,7 +33,7 @@
     ServerLoad,
     UnknownItem,
     _gossip,
-    make_note,
+    make_member_note,
     sum_loads,
 )
 from sparline.placement import (
@@ -181,7 +181,7 @@
         self.region = region
         ip = world.ip(region, number)
         zone = f"{region}-1"
-        self.members = Members(make_note(ip, ip, RegionName(region), zone, 1))
+        self.members = Members(make_member_note(ip, ip, RegionName(region), zone, 1))
         self._set_phase()
         here = [one.id for one in world.servers if one.region == region]
         self.exchange = LoadExchange(
--- a/sparline/fleet/__init__.py
+++ b/sparline/fleet/__init__.py
@@ -11,7 +11,7 @@
 )
 from sparline.fleet._crash_exchange import CrashExchange
 from sparline.fleet._fleet_state import FleetState
-from sparline.fleet._gossip import Datagram, GossipPort, GossipSources, make_note
+from sparline.fleet._gossip import Datagram, GossipPort, GossipSources, make_member_note
 from sparline.fleet._load_board import LoadReading, ServerLoadTable
 from sparline.fleet._load_exchange import LoadDatagram, LoadExchange, LoadSources
 from sparline.fleet._loads import ServerLoad, sum_loads
@@ -57,7 +57,7 @@
     "StoreItem",
     "StoreReader",
     "UnknownItem",
-    "make_note",
+    "make_member_note",
     "sum_loads",
     "is_store_watcher",
 ]
--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -413,6 +413,8 @@
     return now_ms() - member.heard_at_ms > PROBE_ONLY_AFTER_MS
 
 
-def make_note(ip: str, name: str, region: RegionName, zone: str, started_ms: int) -> MemberNote:
+def make_member_note(
+    ip: str, name: str, region: RegionName, zone: str, started_ms: int
+) -> MemberNote:
     """Return the member note with which an instance starts."""
     return MemberNote(ip, name, started_ms, 0, MemberPhase.starting, region, zone)
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -29,7 +29,7 @@
     StoreCopyTable,
     StoreReader,
     is_store_watcher,
-    make_note,
+    make_member_note,
 )
 from sparline.forwarding import (
     AttemptTools,
@@ -110,7 +110,9 @@
         zones = {ZoneName(one): RegionName(of) for one, of in settings.zone_regions.items()}
         started_ms = int(time.time() * 1000)
         self.members = Members(
-            make_note(settings.ip, settings.name, region, settings.availability_zone, started_ms)
+            make_member_note(
+                settings.ip, settings.name, region, settings.availability_zone, started_ms
+            )
         )
         self.fleet = FleetState(
             ItemReader(zones),
