--- a/sparline/fleet/_crash_exchange.py
+++ b/sparline/fleet/_crash_exchange.py
@@ -52,7 +52,7 @@
         changes = self._table.take(map(fact_of, notes))
         return [note_of(one.fact) for one in changes if one.concerns_suspect]
 
-    def news_of(self, change: CrashChange, instances: int) -> CrashNews | None:
+    def urgent_news(self, change: CrashChange, instances: int) -> CrashNews | None:
         """Return the report to broadcast immediately, if any.
 
         `instances` is the number of instances that share the broadcast rate limit.
--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -272,7 +272,7 @@
     def tell_crash(self, change: CrashChange) -> None:
         """Broadcast an urgent crash report to siblings and some instances of each other region."""
         sharing = len(self._members.live(RegionName(self._members.own.region))) + 1
-        news = self._crashes.news_of(change, sharing)
+        news = self._crashes.urgent_news(change, sharing)
         if news is None:
             return
         self._broadcast_to_siblings(news)
--- a/sparline/fleet/tests/test_crash_exchange.py
+++ b/sparline/fleet/tests/test_crash_exchange.py
@@ -161,7 +161,7 @@
 
 
 def test_immediate_reports_are_rate_limited():
-    table = CrashTable(lambda change: told.append(exchange.news_of(change, instances=26)))
+    table = CrashTable(lambda change: told.append(exchange.urgent_news(change, instances=26)))
     exchange = CrashExchange(table)
     told: list[CrashNews | None] = []
     for number in range(50):
