--- a/sparline/fleet/_quota_exchange.py
+++ b/sparline/fleet/_quota_exchange.py
@@ -59,9 +59,7 @@
         self._skipped_until_ms: dict[str, float] = {}  # unresponsive account holders, skipped until
         self._reported_to = ""
         self._region_instances = 1  # instances of the region, as of the last round
-        self._fleet_instances = (
-            ASSUMED_INSTANCES  # instances that share quotas, as of the last round
-        )
+        self._fleet_instances = ASSUMED_INSTANCES  # instances sharing quotas as of the last round
 
     def admit(self, organisation: Organisation, cost: float) -> float | None:
         """Return None if a request is admitted, otherwise the delay before a retry (ms)."""
--- a/sparline/fleet/_store_reader.py
+++ b/sparline/fleet/_store_reader.py
@@ -38,9 +38,10 @@
 READ_TIMEOUT_MS = 4_000
 # Additional time allowed for the response of a watch after its wait (ms).
 WATCH_SLACK_MS = 1_500
-# Initial and maximum backoff after a fault, doubled at each failure, with random jitter (ms): all
-# instances meet the same outage, and rejected calls count against the store's rate limit too.
-INITIAL_BACKOFF_MS = 150.0
+# Base and maximum backoff after a fault (ms). The base is doubled at each failure in a row, and the
+# pause has random jitter: all instances meet the same outage, and rejected calls count against the
+# store's rate limit too.
+BASE_BACKOFF_MS = 150.0
 MAX_BACKOFF_MS = 1_000.0
 # A watch is considered dead once a peer's copy has been newer for this long, plus the delay after a
 # response (ms).
@@ -197,7 +198,7 @@
         self.last_fault_at_ms = now_ms()
         if self._failures == 1:
             log.bind(call=call, fault=fault.kind.value, text=fault.text).warning("store_lost")
-        backoff_ms = min(INITIAL_BACKOFF_MS * 2**self._failures, MAX_BACKOFF_MS)
+        backoff_ms = min(BASE_BACKOFF_MS * 2**self._failures, MAX_BACKOFF_MS)
         gevent.sleep(self._chance.uniform(0.5, 1.0) * backoff_ms / 1000)
 
     def interrupt_stale_watch(self) -> bool:
