--- a/sparline/fleet/_fleet_state.py
+++ b/sparline/fleet/_fleet_state.py
@@ -170,7 +170,8 @@
         self._known_at_ms[server.id] = now_ms()
         self._put_server(server)
         if held is None and not self.started:
-            # The initial read covers thousands of servers; their number is logged once live.
+            # The initial read returns thousands of servers; only their number is logged, when the
+            # instance goes live.
             return
         log.bind(
             backend_server=server.id,
--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -36,21 +36,21 @@
     ServerLimitNote,
 )
 
-# Interval between gossip rounds (ms): load data is then about as old as a prompt's prefill takes.
+# Interval between gossip rounds (ms). It makes load data about as old as a prompt's prefill takes.
 ROUND_MS = 250.0
 # Number of siblings that get a datagram in each round; if there are more, they take turns, so that
 # an instance sends the same number of datagrams in a fleet of any size.
 SIBLINGS_PER_ROUND = 4
-# Number of these in other availability zones of the region: traffic between zones is billed, and
-# one datagram in four is enough to spread news to the other zones.
+# Number of those siblings that are in other availability zones: traffic between zones is billed,
+# and one datagram in four is enough to spread news to the other zones.
 OTHER_ZONE_SIBLINGS_PER_ROUND = 1
 # Number of instances per region that gossip with other regions: traffic between regions is billed.
 # Two, so that the exchange continues when one of them stops.
 REPRESENTATIVES_PER_REGION = 2
-# Number of rounds between probes of a seed or a silent member, which reconnect the fleet after a
-# network partition.
+# Number of rounds between probes. A probe queries a seed or a silent member, which reconnects the
+# fleet after a network partition.
 PROBE_INTERVAL_ROUNDS = 4
-# A member without a heartbeat for this long is contacted only by these probes (ms).
+# A member without a heartbeat for this long is contacted only by probes (ms).
 PROBE_ONLY_AFTER_MS = 6_000.0
 # Number of initial rounds in which an instance queries all seeds: after a power failure the seeds
 # start at the same time, and the first datagrams arrive before they listen.
@@ -328,7 +328,7 @@
         return [peers[(start + step) % len(peers)] for step in range(limit)]
 
     def _probe(self, known: list[str], silent: list[Member], is_representative: bool) -> None:
-        """Query members: in the first rounds from all seeds, later from one missing peer."""
+        """Query all seeds in the first rounds, later one missing peer, or all seeds if alone."""
         own = self._members.own
         unknown_seeds = [ip for ip in self.seeds if ip != own.ip and ip not in known]
         if self._round <= SEED_QUERY_ROUNDS:
--- a/sparline/fleet/_load_exchange.py
+++ b/sparline/fleet/_load_exchange.py
@@ -35,12 +35,13 @@
 # Prefills of at least this many tokens (8 ms) are also broadcast, subject to a rate limit, so that
 # siblings don't choose the same engine. Smaller ones are only included in the readings.
 MIN_BROADCAST_TOKENS = 400
-# An instance whose estimate of a server's running requests is off by at least this count and this
-# fraction of them is corrected immediately: readings are sent in rounds, and dozens of short
-# requests arrive between two rounds. Without the correction, all instances of a region send them to
-# the same idle engine until the next round.
+# Minimum error of an instance's estimate of a server's running requests, as a count and as a
+# fraction of them, that the aggregator corrects immediately. Readings are sent in rounds, and
+# dozens of short requests arrive between two rounds: without the correction, all instances of a
+# region send them to the same idle engine until the next round.
 CORRECTION_MIN_COUNT = 4
 CORRECTION_MIN_FRACTION = 0.25
+# Scale of the slowdown in messages, which hold thousandths of its natural logarithm.
 MILLI = 1_000
 # Number of rounds after which all shares are sent again, since a datagram may have been lost.
 SHARE_REFRESH_ROUNDS = 4
@@ -51,9 +52,9 @@
 TAKEOVER_AGE_MS = 600.0
 # Maximum age of a reading that is relayed (ms): older ones have already reached all instances.
 RELAY_MAX_AGE_MS = 1_000.0
-# Maximum number of readings in a datagram, newest first: of the own region to siblings, of other
-# regions to siblings, and of the own region to other regions. They keep a datagram below 1,400
-# bytes.
+# Maximum number of readings in a datagram, newest first, which keeps it below 1,400 bytes: own
+# region's readings to a sibling, other regions' readings to a sibling, and own region's readings to
+# another region.
 MAX_SIBLING_READINGS = 16
 MAX_RELAYED_READINGS = 5
 MAX_CROSS_REGION_READINGS = 36
@@ -67,9 +68,8 @@
 class LoadSources:
     """Hold the callbacks that supply this instance's own load and consume measurements."""
 
-    own_loads: Callable[
-        [], dict[BackendServerId, ServerLoad]
-    ]  # own load on each server of the region
+    # Own load on each server of the region.
+    own_loads: Callable[[], dict[BackendServerId, ServerLoad]]
     own_load: Callable[[BackendServerId], ServerLoad]  # own load on one server
     doubted: Callable[[], list[BackendServerId]]  # region's servers that failed it recently
     is_doubted: Callable[[BackendServerId], bool]  # whether a server failed it recently
--- a/sparline/fleet/_load_shares.py
+++ b/sparline/fleet/_load_shares.py
@@ -10,8 +10,7 @@
 
 # Lifetime of a share that is not sent again (ms): each share is sent again every second.
 SHARE_LIFETIME_MS = 2_500.0
-# Number of aggregators per server: a first one, and a second that takes over if the first is
-# silent.
+# Number of aggregators per server: the first, and a second that takes over if the first is silent.
 AGGREGATORS_PER_SERVER = 2
 
 
@@ -95,8 +94,8 @@
         departed = set(self._ips).difference(ips)
         joined = set(ips).difference(self._ips)
         self._ips = ips
-        # A joining or departing instance changes the ranking of few servers, so the instances need
-        # not be ranked again for every server.
+        # A joining or departing instance changes the aggregators of few servers: only the servers
+        # that lose one are ranked again in full.
         self._ranked = {
             server_id: _top_ranked([*ranked, *(_rank(server_id, ip) for ip in joined)])
             for server_id, ranked in self._ranked.items()
@@ -104,7 +103,7 @@
         }
 
     def of(self, server_id: BackendServerId) -> tuple[str, ...]:
-        """Return the addresses of a server's aggregators: the first, then its stand-in."""
+        """Return the addresses of a server's aggregators: the first, then the second."""
         ranked = self._ranked.get(server_id)
         if ranked is None:
             ranked = _top_ranked([_rank(server_id, ip) for ip in self._ips])
--- a/sparline/fleet/_members.py
+++ b/sparline/fleet/_members.py
@@ -27,8 +27,9 @@
 SETTLED_MS = 1_500.0
 # A member that is silent for this long is removed (ms).
 RETENTION_MS = 600_000.0
-# Maximum age of a member's statement on the store that is still used (ms): in a region of 71
-# instances, a sibling's turn comes every 4.4 s, and instances of other regions send to few peers.
+# Maximum age of a member's report on the store that is still used (ms): in a region of 71
+# instances, each sibling sends one to this instance every 4.4 s, and instances of other regions
+# send to few peers.
 STORE_REPORT_MAX_AGE_MS = 8_000.0
 
 
@@ -130,7 +131,7 @@
         if not self._others:
             self._alone_until_ms = now
         known = self._others.get(note.ip)
-        # A restart does not change the set that divides limits: its address still counted.
+        # The set that divides limits consists of addresses, so a restart does not change it.
         counted = known is not None and known.heard_at_ms >= now - SHARER_TIMEOUT_MS
         since_ms = known.since_ms if known is not None and counted else now
         if known is None or known.note.incarnation != note.incarnation:
@@ -212,8 +213,8 @@
     def are_sharers_settled(self, region: RegionName | None = None) -> bool:
         """Return whether the set that divides a limit has been stable long enough for all to agree.
 
-        An instance that has heard of no other can't conclude that there is none: it waits until any
-        earlier instance would no longer count.
+        An instance that has heard of no other can't conclude that there is none: it waits until the
+        silence has lasted for so long that an earlier instance would no longer count.
         """
         now = now_ms()
         if not self._others:
--- a/sparline/fleet/_quota_exchange.py
+++ b/sparline/fleet/_quota_exchange.py
@@ -56,7 +56,8 @@
         self._members = members
         self._region = RegionName(members.own.region)
         self.account = Account(self._region, terms_of, self._region_fractions)
-        self._skipped_until_ms: dict[str, float] = {}  # unresponsive account holders, skipped until
+        # End of the time for which an unresponsive account holder is skipped, by address.
+        self._skipped_until_ms: dict[str, float] = {}
         self._reported_to = ""
         self._region_instances = 1  # instances of the region, as of the last round
         self._fleet_instances = ASSUMED_INSTANCES  # instances sharing quotas as of the last round
@@ -86,7 +87,7 @@
         return {region: count / total for region, count in counts.items()}
 
     def due(self) -> list[QuotaDatagram]:
-        """Return what is due now: a usage report, or totals if this instance is the holder."""
+        """Return the datagrams due now: a usage report, or totals if this is the account holder."""
         now = now_ms()
         if not self.allowance.is_report_due(self._region_instances, now):
             return []
@@ -106,7 +107,7 @@
         ]
 
     def _holders(self, region: RegionName) -> list[str]:
-        """Return the addresses of a region's account holder and its stand-in."""
+        """Return a region's candidate account holders; the first one is the account holder."""
         now = now_ms()
         ips = [one.note.ip for one in self._members.live(region)]
         if region == self._region:
@@ -160,7 +161,11 @@
         return []
 
     def _account_of(self, message: QuotaTotals) -> RegionName:
-        """Return the account that totals belong to, separate for each holder of the own region."""
+        """Return the name under which the account records totals.
+
+        It is the sender's region, with the sender's address in the own region, where several
+        holders may keep the account at the same time.
+        """
         if message.region != self._region:
             return RegionName(message.region)
         return RegionName(f"{message.region}/{message.ip}")
--- a/sparline/fleet/_store_copy.py
+++ b/sparline/fleet/_store_copy.py
@@ -29,9 +29,8 @@
         self.revision = 0  # the replica is complete up to this revision
         self._items: dict[str, StoreChange] = {}
         self._tombstones: dict[str, StoreChange] = {}
-        self._oldest_delta_revision = (
-            0  # lowest revision from which an incremental copy is possible
-        )
+        # Lowest revision from which an incremental copy is possible.
+        self._oldest_delta_revision = 0
         self._on_change = on_change
 
     def apply(self, changes: list[StoreChange], revision: int) -> None:
--- a/sparline/fleet/_store_reader.py
+++ b/sparline/fleet/_store_reader.py
@@ -14,9 +14,9 @@
 from sparline.fleet._store_copy import StoreChange, StoreCopyTable
 
 # Maximum wait of a watch (ms), and the minimum fraction of it; the wait is random in between. A
-# change ends the watches of all instances at the same time, and an outage can leave all the
-# following ones dead. With different waits, the first to time out finds the store recovered, and
-# the other instances notice that its copy is newer.
+# change ends the watches of all instances at the same time, so their next watches start together,
+# and an outage can silently break all of these. With different waits, the first to time out finds
+# the store recovered, and the other instances notice that its copy is newer.
 WATCH_WAIT_MS = 10_000
 WATCH_MIN_FRACTION = 0.4
 # Minimum delay after a response before the next watch (ms): changes that arrive together cost each
@@ -26,9 +26,10 @@
 # the store at most 70 times per second, up to a maximum that uses half of the time allowed.
 WATCH_DELAY_PER_WATCHER_MS = 14.0
 MAX_WATCH_DELAY_MS = 1_500.0
-# Interval at which a non-watcher checks whether it should watch (ms), and the random interval at
-# which it queries the store itself (ms), to get changes even if the store rejects all watchers.
+# Interval at which a non-watcher checks whether it should watch (ms).
 WATCHER_CHECK_MS = 250.0
+# Range of the random interval at which a non-watcher queries the store itself (ms), to get changes
+# even if the store rejects all watchers.
 MIN_QUERY_INTERVAL_MS = 20_000.0
 MAX_QUERY_INTERVAL_MS = 40_000.0
 # How long after a fault the minimum delay applies (ms): expired entries are renewed in this time.
--- a/sparline/fleet/tests/quota_replay.py
+++ b/sparline/fleet/tests/quota_replay.py
@@ -16,6 +16,7 @@
 # Tokens per request: one request in ten is long.
 SHORT_TOKENS, LONG_TOKENS, LONG_SHARE = 450.0, 17_000.0, 0.1
 MEAN_TOKENS = SHORT_TOKENS + LONG_SHARE * (LONG_TOKENS - SHORT_TOKENS)
+# How long a new fleet runs before a replay, so that its instances know each other (ms).
 SETTLE_MS = 4_000.0
 
 
@@ -35,8 +36,8 @@
     allowed_in_window: float = 0.0  # maximum number of tokens that operators accept in a window
     owed: float = 0.0  # tokens that a single shared token bucket would have admitted
     rejected_owed: float = 0.0  # owed tokens that were rejected
-    asked: float = 0.0
-    admitted: float = 0.0
+    asked: float = 0.0  # tokens requested
+    admitted: float = 0.0  # tokens admitted
     bytes_per_s: float = 0.0  # quota datagrams per instance
 
     @property
--- a/sparline/fleet/tests/test_crash_exchange.py
+++ b/sparline/fleet/tests/test_crash_exchange.py
@@ -13,7 +13,7 @@
 # Time within which every connected instance has to know of the third crash (ms): the shortest time
 # that an operator may configure.
 PROPAGATION_LIMIT_MS = 5_000.0
-# Factor by which a datagram may exceed the normal transit time.
+# Longest transit time of a datagram, as a multiple of the normal one.
 LATENCY_FACTOR = 1.5
 SIZES = [("small", 3, 3), ("middle", 26, 3), ("large", 65, 3), ("many regions", 4, 12)]
 
@@ -106,8 +106,8 @@
     assert set(verdicts(fleet)) == {Verdict.CLEAR}
 
 
-# Which instances are partitioned off, and for how long (ms): rounds repeat a report on a suspect
-# for 12 s.
+# Which instances are partitioned off, and for how long (ms): shorter and longer than the 12 s for
+# which rounds repeat a report on a suspect.
 PARTITIONS = [
     ("a region, briefly", lambda ip: region_of(ip) == "3", 2_000.0),
     ("a region, for a long time", lambda ip: region_of(ip) == "3", 30_000.0),
--- a/sparline/fleet/tests/test_gossip.py
+++ b/sparline/fleet/tests/test_gossip.py
@@ -143,8 +143,8 @@
     assert len(faults) < 100, "expected read() to end with its port, found repeated errors"
 
 
-# A starting instance is live once it holds a configuration, after about 0.1 s. Callers wait for
-# this, and requests that it may not run in its own region have to be sent to another one.
+# A starting instance becomes live when it holds a configuration, after about 0.1 s. Callers wait
+# for that, and requests that may not run in its own region need a live instance of another one.
 STARTS = [("one each", 1), ("three each", 3), ("twenty-six each", 26)]
 
 
