--- a/sparline/fleet/_fleet_state.py
+++ b/sparline/fleet/_fleet_state.py
@@ -44,14 +44,14 @@
         self,
         read_item: ReadItem,
         on_bad_item: Callable[[], None],
-        disturbed_ago_ms: Callable[[], float],
+        fault_age_ms: Callable[[], float],
         zones: dict[ZoneName, RegionName],
         on_restart: Callable[[BackendServer], None] = lambda _server: None,
         on_gone: Callable[[BackendServer], None] = lambda _server: None,
     ) -> None:
         """Create an empty state.
 
-        `disturbed_ago_ms` returns the time since the store's last fault. `on_restart` is called
+        `fault_age_ms` returns the time since the store's last fault. `on_restart` is called
         with each server replaced by a later start under the same key, and `on_gone` with each
         server removed without having announced that it leaves.
         """
@@ -65,7 +65,7 @@
         self._is_indexed = True
         self._read_item = read_item
         self._on_bad_item = on_bad_item
-        self._disturbed_ago_ms = disturbed_ago_ms
+        self._fault_age_ms = fault_age_ms
         self._on_restart = on_restart
         self._on_gone = on_gone
         self._bad_keys: set[str] = set()
@@ -100,7 +100,7 @@
         server_id = self._server_keys.get(change.key)
         if server_id is None:
             return
-        is_fault_recent = self._disturbed_ago_ms() < RECENT_FAULT_MS
+        is_fault_recent = self._fault_age_ms() < RECENT_FAULT_MS
         if is_fault_recent and not self.servers[server_id].leaving:
             self._lapsed[server_id] = now_ms() + LAPSE_GRACE_MS
             log.bind(backend_server=server_id, revision=change.revision).info("server_lapsed")
@@ -244,12 +244,12 @@
             self._by_service.setdefault(server.service, []).append(server)
             self._ids_in.setdefault(server.region, []).append(server.id)
 
-    def remove_lapsed(self, store_away: bool) -> None:
+    def remove_lapsed(self, is_store_unreachable: bool) -> None:
         """Remove servers whose expired entries were not renewed, and forget old server ids."""
         now = now_ms()
         for server_id in [one for one, until in self._lapsed.items() if now >= until]:
             # While no instance reaches the store, no entry can be renewed.
-            if store_away:
+            if is_store_unreachable:
                 self._lapsed[server_id] = now + LAPSE_GRACE_MS
             else:
                 self._remove(server_id, "not_back_after_lapse")
--- a/sparline/fleet/_load_exchange.py
+++ b/sparline/fleet/_load_exchange.py
@@ -105,12 +105,12 @@
         self,
         server_id: BackendServerId,
         change: ServerLoad,
-        shown_log: float | None,
+        log_slowdown: float | None,
         is_same_region: bool,
     ) -> list[LoadDatagram]:
         """Record a change of this instance's load on a server.
 
-        `shown_log` is the logarithm of the slowdown factor measured in a prefill, if any. Returns
+        `log_slowdown` is the logarithm of the slowdown factor measured in a prefill, if any. Returns
         the datagrams to send immediately.
         """
         self.load_table.note_change(server_id, change)
@@ -123,18 +123,18 @@
             running = None if believed is None else believed.running
             outgoing += self._share_datagrams(self._aggregators.of(server_id), [server_id], running)
         if abs(change.unread_tokens) >= MIN_BROADCAST_TOKENS:
-            outgoing += self._broadcast_change(server_id, change, shown_log)
+            outgoing += self._broadcast_change(server_id, change, log_slowdown)
         return outgoing
 
     def _broadcast_change(
-        self, server_id: BackendServerId, change: ServerLoad, shown_log: float | None
+        self, server_id: BackendServerId, change: ServerLoad, log_slowdown: float | None
     ) -> list[LoadDatagram]:
         """Return the broadcast to siblings about a prefill that starts or ends, if any."""
         siblings = [one.note.ip for one in self._siblings()]
         is_long = abs(change.unread_tokens) >= ALWAYS_BROADCAST_TOKENS
         if not is_long and not self._broadcast_allowance.take(len(siblings) + 1):
             return []
-        slower_milli = round((shown_log or 0.0) * MILLI)
+        slower_milli = round((log_slowdown or 0.0) * MILLI)
         return [LoadDatagram(siblings, LoadNews(write_load(server_id, change), slower_milli))]
 
     def _siblings(self) -> list[Member]:
--- a/sparline/fleet/_store_reader.py
+++ b/sparline/fleet/_store_reader.py
@@ -46,7 +46,7 @@
 MAX_BACKOFF_MS = 1_000.0
 # A watch is considered dead once a peer's copy has been newer for this long, plus the delay after a
 # response (ms).
-BEHIND_MS = 700.0
+STALE_WATCH_MS = 700.0
 # How long the store counts as reachable after a response (ms): the longest watch and its response.
 REACHED_MS = WATCH_WAIT_MS + WATCH_SLACK_MS
 
@@ -102,13 +102,13 @@
         copy: StoreCopyTable,
         on_call: Callable[[str, str], None],
         newest_peer_revision: Callable[[], int],
-        watchers: Callable[[], int] = lambda: 1,
-        watches: Callable[[], bool] = lambda: True,
+        watcher_count: Callable[[], int] = lambda: 1,
+        is_watcher: Callable[[], bool] = lambda: True,
     ) -> None:
         """Create a reader that starts with a full read.
 
-        `on_call` counts calls by kind and result; `watchers` returns how many instances watch the
-        store, and `watches` whether this one does.
+        `on_call` counts calls by kind and result; `watcher_count` returns how many instances watch
+        the store, and `is_watcher` whether this one does.
         """
         self.answered_at_ms = 0.0  # time of the store's last response, 0 for never
         self.last_fault_at_ms = 0.0  # time of the last failed call, 0 for never
@@ -116,8 +116,8 @@
         self._copy = copy
         self._on_call = on_call
         self._newest_peer_revision = newest_peer_revision
-        self._watchers = watchers
-        self._watches = watches
+        self._watcher_count = watcher_count
+        self._is_watcher = is_watcher
         self._needs_full_read = True
         self._failures = 0
         self._behind_since_ms: float | None = None
@@ -130,7 +130,7 @@
 
     def needs_peers(self) -> bool:
         """Return whether this instance gets store changes from peers instead of the store."""
-        return not self.reached() or not self._watches()
+        return not self.reached() or not self._is_watcher()
 
     def run(self) -> None:
         """Synchronise with the store for the lifetime of the process."""
@@ -138,7 +138,7 @@
             if self._needs_full_read:
                 answer = self._client.read_all(READ_TIMEOUT_MS)
                 self._handle_answer(answer, "read", self._copy.replace)
-            elif self._watches():
+            elif self._is_watcher():
                 self._watch(round(self._chance.uniform(WATCH_MIN_FRACTION, 1.0) * WATCH_WAIT_MS))
             else:
                 self._wait_as_non_watcher()
@@ -150,7 +150,7 @@
     def _wait_as_non_watcher(self) -> None:
         """Wait until this instance becomes a watcher; query the store at random intervals."""
         query_at_ms = now_ms() + self._chance.uniform(MIN_QUERY_INTERVAL_MS, MAX_QUERY_INTERVAL_MS)
-        while not self._watches():
+        while not self._is_watcher():
             if now_ms() >= query_at_ms:
                 self._watch(0)
                 return
@@ -181,7 +181,7 @@
     def _watch_delay_ms(self) -> float:
         if now_ms() - self.last_fault_at_ms < RECOVERY_MS:
             return MIN_WATCH_DELAY_MS
-        delay_ms = WATCH_DELAY_PER_WATCHER_MS * self._watchers()
+        delay_ms = WATCH_DELAY_PER_WATCHER_MS * self._watcher_count()
         return min(max(delay_ms, MIN_WATCH_DELAY_MS), MAX_WATCH_DELAY_MS)
 
     def _record_answer(self) -> None:
@@ -204,12 +204,12 @@
 
     def interrupt_stale_watch(self) -> bool:
         """Abort a dead watch if peers hold newer revisions; return whether it was aborted."""
-        if not self._watches() or self._newest_peer_revision() <= self._copy.revision:
+        if not self._is_watcher() or self._newest_peer_revision() <= self._copy.revision:
             self._behind_since_ms = None
             return False
         if self._behind_since_ms is None:
             self._behind_since_ms = now_ms()
-        if now_ms() - self._behind_since_ms < BEHIND_MS + self._watch_delay_ms():
+        if now_ms() - self._behind_since_ms < STALE_WATCH_MS + self._watch_delay_ms():
             return False
         self._behind_since_ms = None
         log.bind(revision=self._copy.revision, peers=self._newest_peer_revision()).info(
--- a/sparline/fleet/tests/test_gossip.py
+++ b/sparline/fleet/tests/test_gossip.py
@@ -78,21 +78,21 @@
     port.sent.clear()
     for _ in range(8):
         port.round()
-    asking = [peers for peers, message in port.sent if message.wants_members]
-    assert len(asking) == 2
-    assert all(len(peers) == 1 for peers in asking)
+    queries = [peers for peers, message in port.sent if message.wants_members]
+    assert len(queries) == 2
+    assert all(len(peers) == 1 for peers in queries)
 
 
 def test_phase_change_is_sent_to_every_sibling_and_one_instance_per_other_region(port):
-    near = [f"127.0.3.{number}" for number in range(10, 20)]
-    for ip in near:
+    siblings = [f"127.0.3.{number}" for number in range(10, 20)]
+    for ip in siblings:
         port._members.take(Gossip(member(ip, "north"), 1, True, [], [], [], [], False))
     for ip, region in (("127.0.4.1", "south"), ("127.0.4.2", "south"), ("127.0.5.1", "west")):
         port._members.take(Gossip(member(ip, region), 1, True, [], [], [], [], False))
     port.announce(MemberPhase.leaving)
-    told = [ip for peers, _ in port.sent for ip in peers]
-    assert set(near) < set(told)
-    assert sorted(ip[:7] for ip in set(told) - set(near)) == ["127.0.4", "127.0.5"]
+    recipients = [ip for peers, _ in port.sent for ip in peers]
+    assert set(siblings) < set(recipients)
+    assert sorted(ip[:7] for ip in set(recipients) - set(siblings)) == ["127.0.4", "127.0.5"]
     assert {message.sender.phase for _, message in port.sent} == {MemberPhase.leaving}
 
 
--- a/sparline/fleet/tests/test_load_exchange.py
+++ b/sparline/fleet/tests/test_load_exchange.py
@@ -63,7 +63,7 @@
                 lambda: self.doubted,
                 lambda server: server in self.doubted,
                 lambda: servers,
-                lambda server, shown_log: self.shown.append((server, shown_log)),
+                lambda server, log_slowdown: self.shown.append((server, log_slowdown)),
             ),
         )
         self.loads.round()
@@ -121,16 +121,16 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "near", "to_aggregator", "to_all"),
+    ("change", "is_same_region", "to_aggregator", "to_all"),
     [row[1:] for row in IMMEDIATE_MESSAGES],
     ids=[row[0] for row in IMMEDIATE_MESSAGES],
 )
-def test_which_changes_are_sent_immediately(one, change, near, to_aggregator, to_all):
-    sent = one.loads.note_change(one.others, change, None, near)
-    told_shares = [each for each in sent if isinstance(each.message, LoadShares)]
+def test_which_changes_are_sent_immediately(one, change, is_same_region, to_aggregator, to_all):
+    sent = one.loads.note_change(one.others, change, None, is_same_region)
+    sent_shares = [each for each in sent if isinstance(each.message, LoadShares)]
     news = [each for each in sent if isinstance(each.message, LoadNews)]
     named = list(one.loads._aggregators.of(one.others))
-    assert [each.peers for each in told_shares] == [named] * to_aggregator
+    assert [each.peers for each in sent_shares] == [named] * to_aggregator
     assert [set(each.peers) for each in news] == [set(SIBLINGS)] * to_all
 
 
--- a/sparline/fleet/tests/test_quotas.py
+++ b/sparline/fleet/tests/test_quotas.py
@@ -90,11 +90,15 @@
 
 @pytest.mark.parametrize(("instances", "per_s"), FLEETS)
 @pytest.mark.parametrize(
-    ("demand", "at", "lossy", "lost"), [row[1:] for row in OWED], ids=[row[0] for row in OWED]
+    ("demand", "at", "lossy", "max_rejected"),
+    [row[1:] for row in OWED],
+    ids=[row[0] for row in OWED],
 )
-def test_load_below_the_quota_is_admitted(monkeypatch, demand, at, lossy, lost, instances, per_s):
+def test_load_below_the_quota_is_admitted(
+    monkeypatch, demand, at, lossy, max_rejected, instances, per_s
+):
     result = replay(monkeypatch, instances, per_s, demand, at, lossy)
-    assert result.rejected_share <= lost
+    assert result.rejected_share <= max_rejected
     assert result.most_in_window <= allowed(per_s)
 
 
--- a/sparline/fleet/tests/test_store.py
+++ b/sparline/fleet/tests/test_store.py
@@ -167,7 +167,7 @@
     clock = [0.0]
     monkeypatch.setattr(_fleet_state, "now_ms", lambda: clock[0])
     put(state, b"server", key="servers/s1")
-    state._disturbed_ago_ms.ago_ms = ago_ms
+    state._fault_age_ms.ago_ms = ago_ms
     state.take(StoreChange("servers/s1", 9, None))
     assert (SERVER.id in state.servers) is at_once
     clock[0] += _fleet_state.LAPSE_GRACE_MS + 1
@@ -179,7 +179,7 @@
     clock = [0.0]
     monkeypatch.setattr(_fleet_state, "now_ms", lambda: clock[0])
     put(state, b"server", key="servers/s1")
-    state._disturbed_ago_ms.ago_ms = 0.0
+    state._fault_age_ms.ago_ms = 0.0
     state.take(StoreChange("servers/s1", 9, None))
     state.take(StoreChange("servers/s1", 10, b"server"))
     clock[0] += _fleet_state.LAPSE_GRACE_MS + 1
@@ -242,11 +242,11 @@
     newest = [5]
     reader = StoreReader(store, copy_of({}), lambda _call, _result: None, lambda: newest[0])
     assert not reader.interrupt_stale_watch()
-    clock[0] += _store_reader.BEHIND_MS + _store_reader.MIN_WATCH_DELAY_MS + 1
+    clock[0] += _store_reader.STALE_WATCH_MS + _store_reader.MIN_WATCH_DELAY_MS + 1
     assert reader.interrupt_stale_watch()
     assert store.calls == ["interrupt"]
     newest[0] = 0
-    clock[0] += _store_reader.BEHIND_MS + _store_reader.MIN_WATCH_DELAY_MS + 1
+    clock[0] += _store_reader.STALE_WATCH_MS + _store_reader.MIN_WATCH_DELAY_MS + 1
     assert not reader.interrupt_stale_watch()
 
 
@@ -301,9 +301,9 @@
 
 
 @pytest.mark.parametrize(
-    ("values", "held", "over"), [row[1:] for row in STARTS], ids=[row[0] for row in STARTS]
+    ("values", "held", "replaced"), [row[1:] for row in STARTS], ids=[row[0] for row in STARTS]
 )
-def test_key_refers_to_the_newest_start_of_its_server(values, held, over):
+def test_key_refers_to_the_newest_start_of_its_server(values, held, replaced):
     restarted: list[str] = []
     one = FleetState(
         lambda change: ITEMS[change.value],
@@ -314,18 +314,18 @@
     )
     put(one, *values, key="servers/s1")
     assert set(one.servers) == held
-    assert restarted == over
+    assert restarted == replaced
 
 
 def test_new_start_replaces_an_expired_earlier_start(state):
     put(state, b"start 1", key="servers/s1")
-    state._disturbed_ago_ms.ago_ms = 0.0
+    state._fault_age_ms.ago_ms = 0.0
     state.take(StoreChange("servers/s1", 2, None))
     state.take(StoreChange("servers/s1", 3, b"start 2"))
     assert set(state.servers) == {"s1@2"}
 
 
-class Step:
+class FakeSleep:
     """Stub for sleep that advances the clock and ends the loop after a number of calls."""
 
     def __init__(self, clock: list[float], count: int) -> None:
@@ -352,14 +352,14 @@
 def test_non_watcher_rarely_calls_the_store(monkeypatch, watches, steps, calls):
     clock = [1_000.0]
     monkeypatch.setattr(_store_reader, "now_ms", lambda: clock[0])
-    monkeypatch.setattr(_store_reader.gevent, "sleep", Step(clock, steps))
+    monkeypatch.setattr(_store_reader.gevent, "sleep", FakeSleep(clock, steps))
     store = ScriptedStore(Ok(StoreAnswer([], 1)), *[Ok(StoreAnswer([], 1))] * (len(calls) - 1))
     reader = StoreReader(
         store,
         copy_of({}),
         lambda _call, _result: None,
         lambda: 0,
-        watches=lambda: watches(clock[0]),
+        is_watcher=lambda: watches(clock[0]),
     )
     with pytest.raises((StopIteration, IndexError)):
         reader.run()
@@ -372,7 +372,7 @@
     for module in (_fleet_state, _store_reader):
         monkeypatch.setattr(module, "now_ms", lambda: clock[0])
     reader = StoreReader(ScriptedStore(), copy_of({}), lambda _call, _result: None, lambda: 0)
-    state._disturbed_ago_ms = lambda: clock[0] - reader.last_fault_at_ms
+    state._fault_age_ms = lambda: clock[0] - reader.last_fault_at_ms
     put(state, b"server", key="servers/s1")
     reader.record_peer_fault(1_000.0)
     state.take(StoreChange("servers/s1", 9, None))
--- a/sparline/fleet/tests/test_store_watchers.py
+++ b/sparline/fleet/tests/test_store_watchers.py
@@ -71,13 +71,13 @@
 
 def test_all_instances_watch_when_the_store_rejects_a_watcher(zone):
     watching = zone.watching()
-    turned_away = min(watching)
+    rejected = min(watching)
     # Non-watchers report the store as unreached.
-    zone.hear(zone.ips, {ip: ip in watching and ip != turned_away for ip in zone.ips})
+    zone.hear(zone.ips, {ip: ip in watching and ip != rejected for ip in zone.ips})
     assert zone.watching() == set(zone.ips)
     # Once their own reports reach each other, the usual number keep watching.
-    zone.hear(zone.ips, {ip: ip != turned_away for ip in zone.ips})
-    assert len(zone.watching() - {turned_away}) == WATCHERS_PER_ZONE
+    zone.hear(zone.ips, {ip: ip != rejected for ip in zone.ips})
+    assert len(zone.watching() - {rejected}) == WATCHERS_PER_ZONE
 
 
 def test_instance_without_known_members_watches():
