--- a/sparline/fleet/_load_exchange.py
+++ b/sparline/fleet/_load_exchange.py
@@ -75,7 +75,7 @@
     is_doubted: Callable[[BackendServerId], bool]  # whether a server failed it recently
     region_servers: Callable[[], list[BackendServerId]]  # all servers of the region
     # Records the logarithm of the slowdown factor that a sibling measured in a server's prefill.
-    note_shown: Callable[[BackendServerId, float], None]
+    record_slowdown: Callable[[BackendServerId, float], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -271,7 +271,7 @@
         server_id = BackendServerId(news.change.backend_server)
         self.load_table.note_change(server_id, read_load(news.change))
         if news.slower_milli:
-            self._sources.note_shown(server_id, news.slower_milli / MILLI)
+            self._sources.record_slowdown(server_id, news.slower_milli / MILLI)
 
 
 def _reading_notes(readings: list[tuple[BackendServerId, LoadReading]]) -> list[LoadReadingNote]:
--- a/sparline/fleet/tests/test_gossip.py
+++ b/sparline/fleet/tests/test_gossip.py
@@ -33,7 +33,7 @@
     doubted=list,
     is_doubted=lambda _server: False,
     region_servers=list,
-    note_shown=lambda _server, _shown_log: None,
+    record_slowdown=lambda _server, _shown_log: None,
 )
 CRASHES = CrashExchange(CrashTable())
 SEEDS = ["127.0.3.1", "127.0.3.2", "127.0.3.3"]
