--- a/sparline/fleet/_members.py
+++ b/sparline/fleet/_members.py
@@ -40,7 +40,7 @@
     note: MemberNote  # its self-description
     heard_at_ms: float  # when its last new heartbeat arrived
     phase_at_ms: float  # when its current phase was first seen
-    since_ms: float = 0.0  # since when it counts among those that divide a limit
+    sharer_since_ms: float = 0.0  # since when it counts among those that divide a limit
     met: bool = False  # whether it has sent a datagram to this instance
     store_revision: int = 0  # store revision that it holds
     store_reached: bool = False  # whether the store recently responded to it
@@ -133,7 +133,7 @@
         known = self._others.get(note.ip)
         # The set that divides limits consists of addresses, so a restart does not change it.
         counted = known is not None and known.heard_at_ms >= now - SHARER_TIMEOUT_MS
-        since_ms = known.since_ms if known is not None and counted else now
+        sharer_since_ms = known.sharer_since_ms if known is not None and counted else now
         if known is None or known.note.incarnation != note.incarnation:
             known = self._others[note.ip] = Member(note, now, now)
             self._ip_by_key[member_key(note.ip)] = note.ip
@@ -141,7 +141,7 @@
             known.phase_at_ms = now
         known.note = note
         known.heard_at_ms = now
-        known.since_ms = since_ms
+        known.sharer_since_ms = sharer_since_ms
         return known
 
     def requested_notes(self, keys: Iterable[int]) -> list[MemberNote]:
@@ -224,7 +224,7 @@
             if region is None or one.note.region == region:
                 silent_at_ms = one.heard_at_ms + SHARER_TIMEOUT_MS
                 changed_at_ms = max(
-                    changed_at_ms, one.since_ms if now < silent_at_ms else silent_at_ms
+                    changed_at_ms, one.sharer_since_ms if now < silent_at_ms else silent_at_ms
                 )
         return now - changed_at_ms >= SETTLED_MS
 
