--- a/sparline/fleet/_members.py
+++ b/sparline/fleet/_members.py
@@ -41,7 +41,7 @@
     heard_at_ms: float  # when its last new heartbeat arrived
     phase_at_ms: float  # when its current phase was first seen
     sharer_since_ms: float = 0.0  # since when it counts among those that divide a limit
-    met: bool = False  # whether it has sent a datagram to this instance
+    has_contacted: bool = False  # whether it has sent a datagram to this instance
     store_revision: int = 0  # store revision that it holds
     store_reached: bool = False  # whether the store recently responded to it
     datagram_at_ms: float = 0.0  # when it last sent a datagram to this instance
@@ -74,9 +74,11 @@
         known = self._others.get(note.ip)
         if known is not None and _is_out_of_order(note, known.note):
             return False
-        is_new = known is None or known.note.incarnation != note.incarnation or not known.met
+        is_new = (
+            known is None or known.note.incarnation != note.incarnation or not known.has_contacted
+        )
         member = self._update(note)
-        member.met = True
+        member.has_contacted = True
         member.store_revision = gossip.store_revision
         member.store_reached = gossip.store_reached
         member.datagram_at_ms = now_ms()
