--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -269,7 +269,7 @@
         for one in outgoing:
             self._send(self._limit_randomly(one.peers, MAX_BROADCAST_PEERS), one.message)
 
-    def tell_crash(self, change: CrashChange) -> None:
+    def broadcast_crash(self, change: CrashChange) -> None:
         """Broadcast an urgent crash report to siblings and some instances of each other region."""
         sharing = len(self._members.live(RegionName(self._members.own.region))) + 1
         news = self._crashes.urgent_news(change, sharing)
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -305,7 +305,7 @@
 
     def _note_crash(self, change: CrashChange) -> None:
         self.request_log.note_crash(change, self.crashes.quarantine_left_ms(change.fact.digest))
-        self.gossip.tell_crash(change)
+        self.gossip.broadcast_crash(change)
 
     def _store_fault_ago_ms(self) -> float | None:
         at_ms = self.reader.last_fault_at_ms
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -189,7 +189,7 @@
             store_revision=lambda: 1,
             store_reached=lambda: True,
         )
-        crashes = CrashTable(lambda change: gossip.tell_crash(change))
+        crashes = CrashTable(lambda change: gossip.broadcast_crash(change))
         gossip = GossipPort(
             PORT, self.seeds, members, loads, CrashExchange(crashes), quotas, sources
         )
