--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -261,7 +261,7 @@
         self, server: BackendServer, change: ServerLoad, shown_log: float | None
     ) -> None:
         is_near = server.region == self.region
-        self.port.tell(self.exchange.note_change(server.id, change, shown_log, is_near))
+        self.port.send_immediately(self.exchange.note_change(server.id, change, shown_log, is_near))
 
     def gossip(self) -> None:
         """Tell some instances, then again after a while."""
--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -141,11 +141,11 @@
             case LoadNews():
                 self._loads.take_news(message)
             case LoadShares():
-                self.tell(self._loads.take_shares(message))
+                self.send_immediately(self._loads.take_shares(message))
             case LoadWord():
                 self._loads.take_readings([message.reading])
             case QuotaReport() | QuotaWord() | QuotaTotals():
-                self.tell(self._quotas.take(message))
+                self.send_immediately(self._quotas.take(message))
             case Gossip():
                 self._handle_gossip(message)
 
@@ -264,7 +264,7 @@
         remote = [self._chance.choice(ips) for ips in self._ips_by_other_region()]
         self._send(remote, self._gossip_message(False))
 
-    def tell(self, outgoing: Iterable[LoadDatagram | QuotaDatagram]) -> None:
+    def send_immediately(self, outgoing: Iterable[LoadDatagram | QuotaDatagram]) -> None:
         """Send load or quota datagrams immediately."""
         for one in outgoing:
             self._send(self._limit_randomly(one.peers, MAX_BROADCAST_PEERS), one.message)
--- a/sparline/fleet/tests/test_gossip.py
+++ b/sparline/fleet/tests/test_gossip.py
@@ -104,7 +104,7 @@
     port._members.take(Gossip(SIBLING, 1, True, [], [], [], [], False))
     far = MemberNote("127.0.4.1", "f", 1, 1, MemberPhase.live, "south", "south-1")
     port._members.take(Gossip(far, 1, True, [], [], [], [], False))
-    port.tell(port._loads.note_change("e1", ServerLoad(0, 0, 4_000), None, True))
+    port.send_immediately(port._loads.note_change("e1", ServerLoad(0, 0, 4_000), None, True))
     news = LoadNews(BackendLoadNote("e1", 0, 0, 4_000))
     assert port.sent == [([SIBLING.ip], news)]
 
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -281,7 +281,9 @@
         self, server: BackendServer, change: ServerLoad, shown_log: float | None
     ) -> None:
         is_near = server.region == self.members.own.region
-        self.gossip.tell(self.load_exchange.note_change(server.id, change, shown_log, is_near))
+        self.gossip.send_immediately(
+            self.load_exchange.note_change(server.id, change, shown_log, is_near)
+        )
 
     def _doubted_here(self) -> list[str]:
         region = self.members.own.region
--- a/sparline/gateway/_quotas.py
+++ b/sparline/gateway/_quotas.py
@@ -82,7 +82,7 @@
 
     def _ask(self, organisation: Organisation, cost: float) -> float | None:
         wait_ms = self._exchange.admit(organisation, cost)
-        self._gossip().tell(self._exchange.due())
+        self._gossip().send_immediately(self._exchange.due())
         return wait_ms
 
     def _note_refused(
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -124,13 +124,13 @@
         one.own_loads[server_id] = sum_loads((held, change))
         if one.own_loads[server_id] == ServerLoad():
             del one.own_loads[server_id]
-        one.gossip.tell(one.loads.note_change(server_id, change, None, True))
+        one.gossip.send_immediately(one.loads.note_change(server_id, change, None, True))
 
     def ask(self, ip: str, name: str, cost: float) -> float | None:
         """Let a caller ask an instance; return None where it is let in, else when to come back."""
         one = self.instances[ip]
         wait_ms = one.quotas.admit(self.organisations[name], cost)
-        one.gossip.tell(one.quotas.due())
+        one.gossip.send_immediately(one.quotas.due())
         return wait_ms
 
     def quota_terms(self, key: int) -> Terms | None:
