--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -235,7 +235,7 @@
             return
         server_id = BackendServerId(f"{backend.member.id}@{backend.incarnation}")
         address = (backend.member.ip, backend.member.port)
-        if self._parts.ends.reach(server_id, address) is ProbeResult.REFUSED:
+        if self._parts.ends.probe(server_id, address) is ProbeResult.REFUSED:
             self._parts.crashes.note_end(digest, server_id)
 
     def _relay_to_zone(
--- a/sparline/fleet/_quota_exchange.py
+++ b/sparline/fleet/_quota_exchange.py
@@ -107,7 +107,7 @@
         own = self._members.own
         if holder == own.ip:
             levels = self.account.take_report((own.ip, own.incarnation), report, now)
-            self.allowance.apply_update(report.sequence, levels, now)
+            self.allowance.apply_answer(report.sequence, levels, now)
             return self._urgent_totals(now)
         uses = [_note_of(use) for use in report.uses]
         return [
@@ -161,7 +161,7 @@
                 return [answer, *self._urgent_totals(now)]
             case QuotaWord():
                 levels = {note.key: float(note.level) for note in message.levels}
-                self.allowance.apply_update(message.sequence, levels, now)
+                self.allowance.apply_answer(message.sequence, levels, now)
             case QuotaTotals():
                 totals = [RegionTotal(note.key, note.total) for note in message.totals]
                 holder = (message.ip, message.incarnation)
--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -127,7 +127,7 @@
         if self._dependencies.has_ended(self._server_id):
             return self._server_id
         address = self._placement.server.address
-        if self._dependencies.ends.reach(self._server_id, address) is ProbeResult.REFUSED:
+        if self._dependencies.ends.probe(self._server_id, address) is ProbeResult.REFUSED:
             return self._server_id
         return self._dependencies.ends.witnessed_end(self._server_id, self._probe_connections)
 
@@ -263,11 +263,11 @@
         if not self._dependencies.may_send_elsewhere(self._request, self._progress):
             return
         if self._request.route.kind is RequestKind.STREAM:
-            is_unresponsive = self._dependencies.health.is_unresponsive(self._server_id)
+            is_overdue = self._dependencies.health.is_unresponsive(self._server_id)
         else:
             typical_ms = self._dependencies.pace.answer_ms(self._request.service)
-            is_unresponsive = waited_ms > PLAIN_ANSWER_TIMEOUT_FACTOR * typical_ms
-        if is_unresponsive:
+            is_overdue = waited_ms > PLAIN_ANSWER_TIMEOUT_FACTOR * typical_ms
+        if is_overdue:
             raise _ServerUnresponsive
 
     def _handle_refusal(
--- a/sparline/quotas/_allowance.py
+++ b/sparline/quotas/_allowance.py
@@ -134,7 +134,7 @@
         parameters = make_quota_parameters(organisation.quota, self._tolerance)
         state = self._states.get(key)
         if state is None:
-            initial_share = parameters.initial_share / max(instances, 1)
+            initial_share = parameters.initial_level / max(instances, 1)
             admitted = self._admitted.setdefault(key, _AdmittedUnits())
             state = self._states[key] = _QuotaState(admitted, parameters, initial_share, now, now)
         state.parameters = parameters
