--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -44,7 +44,6 @@
     GapTable,
     HealthTable,
     InstanceLocation,
-    LimitShares,
     LoadTable,
     PaceTable,
     Placement,
@@ -52,6 +51,7 @@
     PromptCache,
     RateShares,
     Refusal,
+    ServerLimitShares,
     ServerLimitTable,
     StreamWatch,
     WatchTables,
@@ -233,7 +233,9 @@
             loads=self.loads,
             health=HealthTable(),
             cold=ColdShares(ip, lambda: [ip]),
-            limits=LimitShares(ServerLimitTable(), RateShares(ip, lambda: [ip], lambda: True)),
+            limits=ServerLimitShares(
+                ServerLimitTable(), RateShares(ip, lambda: [ip], lambda: True)
+            ),
             cache=self._cache,
             pace=self._pace,
             gaps=gaps,
--- a/sparline/decisions/_region_refusals.py
+++ b/sparline/decisions/_region_refusals.py
@@ -19,7 +19,7 @@
 class RegionRefusals:
     """Remembers what other regions rejected; the caller passes the current time in (`now`, ms).
 
-    Lower priority numbers are more urgent, as in requests. A region without room for a request may
+    Lower priority numbers are more urgent, as in `RoutedRequest`. A region without room for a request may
     have some for a more urgent one.
     """
 
--- a/sparline/dispatch/_dispatcher.py
+++ b/sparline/dispatch/_dispatcher.py
@@ -58,7 +58,7 @@
     Reason.BACKEND_FAILED,
 )
 
-RelaySender = Callable[[Request, RemoteCandidate, int], Answer]
+SendRelay = Callable[[Request, RemoteCandidate, int], Answer]
 AnswerParts = Generator[AnswerPart, None, AnswerEnd]
 
 
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DispatchParts:
+class DispatcherDependencies:
     """Hold the dependencies of a dispatcher."""
 
     finder: CandidateFinder  # finds the candidates for a request
@@ -82,7 +82,7 @@
     loads: LoadTable  # load of this zone's backend servers
     prefixes: PrefixMap  # backend servers that have processed a prompt prefix
     metrics: Metrics  # metrics of this instance
-    relay: RelaySender  # relays a request to another zone
+    relay: SendRelay  # relays a request to another zone
     connect_timeout_ms: float  # connect timeout at backend servers
     crashes: CrashTable  # crashes of backend servers by request digest
     ends: ServerEndDetector  # probes whether a backend server that broke a response has crashed
@@ -91,9 +91,9 @@
 class Dispatcher:
     """Run requests and give each exactly one `AnswerEnd`."""
 
-    def __init__(self, parts: DispatchParts) -> None:
+    def __init__(self, parts: DispatcherDependencies) -> None:
         """Create a dispatcher whose queued requests are counted by the load table."""
-        self._parts = parts
+        self._dependencies = parts
         self._budget = RetryBudget()
         self.wait_queue = WaitQueue(self._reserve_local)
         parts.loads.own_waiting_counts = self.wait_queue.counts
@@ -107,7 +107,7 @@
                 yield unknown(Reason.QUARANTINED)
                 return
             end = yield from self._run_attempt(request, progress)
-            stop_reason = self._reason_to_stop(request, progress, end)
+            stop_reason = self._stop_reason(request, progress, end)
             if stop_reason is not None:
                 final = _final_end(progress, end, stop_reason)
                 assert final.outcome is not Outcome.not_run or not progress.may_have_run, (
@@ -115,20 +115,20 @@
                 )
                 yield final
                 return
-            self._parts.metrics.retries.labels(end.reason).inc()
+            self._dependencies.metrics.retries.labels(end.reason).inc()
 
     def _verdict(self, request: Request) -> Verdict:
         """Return the quarantine verdict; the digest is computed only if there are known crashes."""
-        if self._parts.crashes.is_empty:
+        if self._dependencies.crashes.is_empty:
             return Verdict.CLEAR
         digest = request.digest()
-        return Verdict.CLEAR if digest is None else self._parts.crashes.verdict(digest)
+        return Verdict.CLEAR if digest is None else self._dependencies.crashes.verdict(digest)
 
     def accepts_relayed(self, request: Request) -> bool:
         """Return whether a request relayed from another zone may run here now."""
         assert request.origin is Origin.RELAY, "the request was not relayed from another zone"
-        candidates = self._parts.finder.find(request)
-        return self._parts.policy.accepts_relayed(request, candidates)
+        candidates = self._dependencies.finder.find(request)
+        return self._dependencies.policy.accepts_relayed(request, candidates)
 
     def _run_attempt(self, request: Request, progress: _Progress) -> AnswerParts:
         assert request.repeatable or not progress.may_have_run, (
@@ -172,29 +172,29 @@
         """Decide, and reserve the slot at once so that no other request is given it."""
         if request.left_ms() <= 0:
             return Refuse(Reason.DEADLINE_PASSED, 0)
-        candidates = self._parts.finder.find(request, excluded)
-        decision = self._parts.policy.decide(request, candidates)
+        candidates = self._dependencies.finder.find(request, excluded)
+        decision = self._dependencies.policy.decide(request, candidates)
         if isinstance(decision, RunLocally):
             return Reservation(decision.candidate.estimate.backend, request)
         return decision
 
     def _reserve_local(self, request: Request, excluded: frozenset[str]) -> Reservation | None:
-        candidates = self._parts.finder.find(request, excluded)
+        candidates = self._dependencies.finder.find(request, excluded)
         best = best_local(request, candidates)
         return Reservation(best.estimate.backend, request) if best else None
 
     def _run_locally(
         self, request: Request, reservation: Reservation, progress: _Progress
     ) -> AnswerParts:
-        self._parts.metrics.attempts.labels("here").inc()
+        self._dependencies.metrics.attempts.labels("here").inc()
         backend = reservation.backend
         member = backend.member
         context = AttemptContext(
             backend_server=BackendServerId(member.id),
             address=BackendAddress(member.ip, member.port),
-            connect_timeout_ms=self._parts.connect_timeout_ms,
+            connect_timeout_ms=self._dependencies.connect_timeout_ms,
             resume_from=progress.tokens_forwarded,
-            priority=self._parts.policy.engine_priority(request),
+            priority=self._dependencies.policy.engine_priority(request),
         )
         try:
             for part in attempt(request, context):
@@ -203,7 +203,7 @@
                     return part
                 if isinstance(part, AnswerChunk):
                     reservation.note_first_token()
-                    self._parts.prefixes.note(
+                    self._dependencies.prefixes.note(
                         request.prefix_keys, context.backend_server, backend.incarnation
                     )
                 yield from _forward(part, request, progress)
@@ -218,15 +218,15 @@
         backend = reservation.backend
         if end.reason in _SERVER_FAULTS:
             if end.reason is Reason.CONNECT_FAILED:
-                self._parts.loads.note_unreachable(backend)
+                self._dependencies.loads.note_unreachable(backend)
             else:
-                self._parts.loads.note_failure(backend)
+                self._dependencies.loads.note_failure(backend)
             progress.excluded.add(backend.member.id)
             self._record_crash(request, backend, end)
         elif end.outcome is Outcome.complete:
-            self._parts.loads.note_success(backend)
+            self._dependencies.loads.note_success(backend)
             if (digest := request.digest()) is not None:
-                self._parts.crashes.note_complete_answer(digest)
+                self._dependencies.crashes.note_complete_answer(digest)
 
     def _record_crash(self, request: Request, backend: BackendState, end: AnswerEnd) -> None:
         """Record a crash if the backend server that broke the response refuses connections."""
@@ -235,20 +235,20 @@
             return
         server_id = BackendServerId(f"{backend.member.id}@{backend.incarnation}")
         address = (backend.member.ip, backend.member.port)
-        if self._parts.ends.probe(server_id, address) is ProbeResult.REFUSED:
-            self._parts.crashes.note_end(digest, server_id)
+        if self._dependencies.ends.probe(server_id, address) is ProbeResult.REFUSED:
+            self._dependencies.crashes.note_end(digest, server_id)
 
     def _relay_to_zone(
         self, request: Request, candidate: RemoteCandidate, progress: _Progress
     ) -> AnswerParts:
         assert request.origin is Origin.CALLER, "a relayed request must not be relayed again"
-        allowed = self._parts.finder.catalog.allowed_regions(request.residency_rule)
+        allowed = self._dependencies.finder.catalog.allowed_regions(request.residency_rule)
         assert candidate.region in allowed, (
             f"region {candidate.region} is not allowed by the residency rule"
         )
-        self._parts.metrics.attempts.labels("away").inc()
-        self._parts.metrics.sent_away.labels(candidate.region).inc()
-        for part in self._parts.relay(request, candidate, progress.tokens_forwarded):
+        self._dependencies.metrics.attempts.labels("away").inc()
+        self._dependencies.metrics.sent_away.labels(candidate.region).inc()
+        for part in self._dependencies.relay(request, candidate, progress.tokens_forwarded):
             if isinstance(part, AnswerEnd):
                 if part.outcome is not Outcome.complete:
                     progress.excluded.add(candidate.zone)
@@ -256,9 +256,7 @@
             yield from _forward(part, request, progress)
         raise AssertionError("a relay finished without an AnswerEnd")
 
-    def _reason_to_stop(
-        self, request: Request, progress: _Progress, end: AnswerEnd
-    ) -> Reason | None:
+    def _stop_reason(self, request: Request, progress: _Progress, end: AnswerEnd) -> Reason | None:
         """Return the reason not to retry, or None to retry."""
         if (
             end.outcome is Outcome.complete
--- a/sparline/dispatch/_retry_budget.py
+++ b/sparline/dispatch/_retry_budget.py
@@ -1,7 +1,7 @@
 """A retry budget, which limits retries to a small fraction of all requests."""
 
 RETRIES_PER_REQUEST = 0.2  # added to the budget by each request
-MAX_BUDGET = 20.0  # number of retries that can be saved up
+MAX_SAVED_RETRIES = 20.0  # number of retries that can be saved up
 
 
 class RetryBudget:
@@ -9,11 +9,11 @@
 
     def __init__(self) -> None:
         """Start with half of the maximum budget."""
-        self._balance = MAX_BUDGET / 2
+        self._balance = MAX_SAVED_RETRIES / 2
 
     def earn(self) -> None:
         """Add the fraction of a retry that one request contributes."""
-        self._balance = min(self._balance + RETRIES_PER_REQUEST, MAX_BUDGET)
+        self._balance = min(self._balance + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
 
     def spend(self) -> bool:
         """Take one retry from the budget; return False if it is exhausted."""
--- a/sparline/dispatch/_waiting_room.py
+++ b/sparline/dispatch/_waiting_room.py
@@ -26,7 +26,7 @@
 
     request: Request  # the waiting request
     excluded: frozenset[str]  # backend servers and zones that were already tried
-    arrived_ms: float = field(default_factory=now_ms)  # when it was queued
+    arrived_at_ms: float = field(default_factory=now_ms)  # when it was queued
     placed: Event = field(default_factory=Event)  # set once it has a reservation
     reservation: Reservation | None = None  # the reserved slot
 
@@ -35,7 +35,7 @@
 
         Long requests do not starve, because some slots of each engine are reserved for them.
         """
-        waited_ms = now_ms() - self.arrived_ms
+        waited_ms = now_ms() - self.arrived_at_ms
         priority_ms = self.request.priority * MS_PER_PRIORITY
         return self.request.length is Length.SHORT, waited_ms + priority_ms
 
--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -38,7 +38,7 @@
 
 # Interval between gossip rounds (ms). It makes load data about as old as a prompt's prefill takes.
 ROUND_MS = 250.0
-# Number of siblings that get a datagram in each round; if there are more, they take turns, so that
+# Number of siblings (other instances of this region) that get a datagram in each round; if there are more, they take turns, so that
 # an instance sends the same number of datagrams in a fleet of any size.
 SIBLINGS_PER_ROUND = 4
 # Number of those siblings that are in other availability zones: traffic between zones is billed,
--- a/sparline/fleet/_load_exchange.py
+++ b/sparline/fleet/_load_exchange.py
@@ -110,7 +110,7 @@
     ) -> list[LoadDatagram]:
         """Record a change of this instance's load on a server.
 
-        `log_slowdown` is the logarithm of the slowdown factor measured in a prefill, if any. Returns
+        `log_factor` is the logarithm of the slowdown factor measured in a prefill, if any. Returns
         the datagrams to send immediately.
         """
         self.load_table.note_change(server_id, change)
--- a/sparline/fleet/_quota_exchange.py
+++ b/sparline/fleet/_quota_exchange.py
@@ -1,7 +1,7 @@
 """Exchange of the usage that instances have admitted against organisations' quotas.
 
-An instance reports its usage to the account holder of its region, which replies with the remaining
-quota. In each round, an account holder sends its region's totals to one account holder of each
+An instance reports its usage to the quota coordinator of its region, which replies with the remaining
+quota. In each round, an quota coordinator sends its region's totals to one quota coordinator of each
 other region. Nothing is sent for quotas without requests.
 """
 
@@ -31,13 +31,13 @@
     QuotaWord,
 )
 
-# How long an account holder that did not reply is skipped (ms).
-SKIP_HOLDER_MS = 3_000.0
+# How long an quota coordinator that did not reply is skipped (ms).
+SKIP_COORDINATOR_MS = 3_000.0
 # Assumed number of instances that share a quota, for an instance that has heard of no other.
 ASSUMED_INSTANCES = 24
-# Number of candidate account holders per region, which exchange totals: instances may temporarily
-# disagree on the account holder, so that several keep the account at the same time.
-HOLDER_CANDIDATES = 2
+# Number of candidate quota coordinators per region, which exchange totals: instances may temporarily
+# disagree on the quota coordinator, so that several count as coordinator at the same time.
+COORDINATOR_CANDIDATES = 2
 
 QuotaMessage = QuotaReport | QuotaWord | QuotaTotals
 
@@ -56,15 +56,15 @@
     def __init__(
         self,
         members: Members,
-        allowance: QuotaLimiter,
-        terms_of: Callable[[int], QuotaParameters | None],
+        limiter: QuotaLimiter,
+        parameters_of: Callable[[int], QuotaParameters | None],
     ) -> None:
-        """Create an exchange with a fleet; `terms_of` returns the terms of a quota by its key."""
-        self.allowance = allowance
+        """Create an exchange with a fleet; `parameters_of` returns the refill parameters of a quota by its key."""
+        self.limiter = limiter
         self._members = members
         self._region = RegionName(members.own.region)
-        self.account = QuotaCoordinator(self._region, terms_of, self._region_fractions)
-        # End of the time for which an unresponsive account holder is skipped, by address.
+        self.quota_coordinator = QuotaCoordinator(self._region, parameters_of, self._region_shares)
+        # End of the time for which an unresponsive quota coordinator is skipped, by address.
         self._skipped_until_ms: dict[str, float] = {}
         self._reported_to = ""
         self._region_instances = 1  # instances of the region, as of the last round
@@ -72,21 +72,21 @@
 
     def admit(self, organisation: Organisation, cost: float) -> float | None:
         """Return None if a request is admitted, otherwise the delay before a retry (ms)."""
-        return self.allowance.admit(organisation, cost, self._fleet_instances, now_ms())
+        return self.limiter.admit(organisation, cost, self._fleet_instances, now_ms())
 
     def is_estimate(self, organisation: OrganisationId) -> bool:
-        """Return whether a quota may have changed since the account holder's last reply."""
-        return self.allowance.is_estimate(organisation, now_ms())
+        """Return whether a quota may have changed since the quota coordinator's last reply."""
+        return self.limiter.is_estimate(organisation, now_ms())
 
     def settle(self, organisation: OrganisationId, units: float) -> None:
         """Charge a quota for a repeated request, or refund (below zero) one that did not run."""
-        self.allowance.settle(organisation, units)
+        self.limiter.settle(organisation, units)
 
     def left(self, organisation: OrganisationId) -> RemainingQuota | None:
         """Return the estimate of a quota's remaining units, or None if it is unused here."""
-        return self.allowance.left(organisation, now_ms())
+        return self.limiter.left(organisation, now_ms())
 
-    def _region_fractions(self) -> dict[RegionName, float]:
+    def _region_shares(self) -> dict[RegionName, float]:
         """Return each region's fraction of a quota, by its number of instances."""
         counts: dict[RegionName, int] = {}
         for region in self._members.regions_sharing():
@@ -95,33 +95,37 @@
         return {region: count / total for region, count in counts.items()}
 
     def due(self) -> list[QuotaDatagram]:
-        """Return the datagrams due now: a usage report, or totals if this is the account holder."""
+        """Return the datagrams due now: a usage report, or totals if this is the quota coordinator."""
         now = now_ms()
-        if not self.allowance.is_report_due(self._region_instances, now):
+        if not self.limiter.is_report_due(self._region_instances, now):
             return []
-        if self.allowance.is_unanswered(now) and self._reported_to != self._members.own.ip:
-            self._skipped_until_ms[self._reported_to] = now + SKIP_HOLDER_MS
-        holder = self._holders(self._region)[0]
-        self._reported_to = holder
-        report = self.allowance.report(now)
+        if self.limiter.is_unanswered(now) and self._reported_to != self._members.own.ip:
+            self._skipped_until_ms[self._reported_to] = now + SKIP_COORDINATOR_MS
+        coordinator = self._coordinators(self._region)[0]
+        self._reported_to = coordinator
+        report = self.limiter.report(now)
         own = self._members.own
-        if holder == own.ip:
-            levels = self.account.take_report((own.ip, own.incarnation), report, now)
-            self.allowance.apply_answer(report.sequence, levels, now)
+        if coordinator == own.ip:
+            levels = self.quota_coordinator.take_report((own.ip, own.incarnation), report, now)
+            self.limiter.apply_answer(report.sequence, levels, now)
             return self._urgent_totals(now)
         uses = [_note_of(use) for use in report.uses]
         return [
-            QuotaDatagram([holder], QuotaReport(own.ip, own.incarnation, report.sequence, uses))
+            QuotaDatagram(
+                [coordinator], QuotaReport(own.ip, own.incarnation, report.sequence, uses)
+            )
         ]
 
-    def _holders(self, region: RegionName) -> list[str]:
-        """Return a region's candidate account holders; the first one is the account holder."""
+    def _coordinators(self, region: RegionName) -> list[str]:
+        """Return a region's candidate quota coordinators; the first one is the quota coordinator."""
         now = now_ms()
         ips = [one.note.ip for one in self._members.live(region)]
         if region == self._region:
             ips = [ip for ip in ips if self._skipped_until_ms.get(ip, 0.0) < now]
             ips.append(self._members.own.ip)
-        return sorted(ips, key=lambda ip: hash64(f"quota/{ip}"), reverse=True)[:HOLDER_CANDIDATES]
+        return sorted(ips, key=lambda ip: hash64(f"quota/{ip}"), reverse=True)[
+            :COORDINATOR_CANDIDATES
+        ]
 
     def round(self) -> list[QuotaDatagram]:
         """Return the datagrams to send in a round."""
@@ -129,22 +133,24 @@
         self._region_instances = len(self._members.live(self._region)) + 1
         sharers = len(self._members.sharers())
         self._fleet_instances = sharers if sharers > 1 else ASSUMED_INSTANCES
-        self.allowance.forget_idle(now)
-        self.account.forget_idle(now)
+        self.limiter.forget_idle(now)
+        self.quota_coordinator.forget_idle(now)
         return [*self.due(), *self._totals(now)]
 
     def _urgent_totals(self, now: float) -> list[QuotaDatagram]:
-        return self._totals(now) if self.account.are_totals_due(now) else []
+        return self._totals(now) if self.quota_coordinator.are_totals_due(now) else []
 
     def _totals(self, now: float) -> list[QuotaDatagram]:
-        if not len(self.account):
+        if not len(self.quota_coordinator):
             return []
         own = self._members.own
-        notes = [QuotaTotalNote(one.key, round(one.total)) for one in self.account.totals(now)]
-        peers = [ip for ip in self._holders(self._region) if ip != own.ip]
+        notes = [
+            QuotaTotalNote(one.key, round(one.total)) for one in self.quota_coordinator.totals(now)
+        ]
+        peers = [ip for ip in self._coordinators(self._region) if ip != own.ip]
         for region in dict.fromkeys(self._members.regions_sharing()):
             if region != self._region:
-                peers += self._holders(region)[:1]
+                peers += self._coordinators(region)[:1]
         message = QuotaTotals(own.ip, own.incarnation, self._region, notes)
         return [QuotaDatagram(peers, message)] if peers else []
 
@@ -155,24 +161,26 @@
             case QuotaReport():
                 report = UsageReport(message.sequence, [_use_of(note) for note in message.uses])
                 member = (message.ip, message.incarnation)
-                levels = self.account.take_report(member, report, now)
+                levels = self.quota_coordinator.take_report(member, report, now)
                 notes = [QuotaLevelNote(key, round(level)) for key, level in levels.items()]
                 answer = QuotaDatagram([message.ip], QuotaWord(message.sequence, notes))
                 return [answer, *self._urgent_totals(now)]
             case QuotaWord():
                 levels = {note.key: float(note.level) for note in message.levels}
-                self.allowance.apply_answer(message.sequence, levels, now)
+                self.limiter.apply_answer(message.sequence, levels, now)
             case QuotaTotals():
                 totals = [RegionTotal(note.key, note.total) for note in message.totals]
-                holder = (message.ip, message.incarnation)
-                self.account.take_totals(self._account_of(message), holder, totals, now)
+                coordinator = (message.ip, message.incarnation)
+                self.quota_coordinator.take_totals(
+                    self._sender_name(message), coordinator, totals, now
+                )
         return []
 
-    def _account_of(self, message: QuotaTotals) -> RegionName:
-        """Return the name under which the account records totals.
+    def _sender_name(self, message: QuotaTotals) -> RegionName:
+        """Return the name under which the coordinator records totals.
 
         It is the sender's region, with the sender's address in the own region, where several
-        holders may keep the account at the same time.
+        instances may act as coordinator at the same time.
         """
         if message.region != self._region:
             return RegionName(message.region)
--- a/sparline/fleet/_store_copy.py
+++ b/sparline/fleet/_store_copy.py
@@ -1,4 +1,4 @@
-"""A replica of the store's items, versioned by revision, that instances can copy to peers."""
+"""A copy of the store's items, versioned by revision, that instances can copy to peers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -25,8 +25,8 @@
     """Hold the newest known state of each item; older changes are ignored."""
 
     def __init__(self, on_change: OnChange) -> None:
-        """Create an empty replica; `on_change` is called with each effective change."""
-        self.revision = 0  # the replica is complete up to this revision
+        """Create an empty copy; `on_change` is called with each effective change."""
+        self.revision = 0  # the copy is complete up to this revision
         self._items: dict[str, StoreChange] = {}
         self._tombstones: dict[str, StoreChange] = {}
         # Lowest revision from which an incremental copy is possible.
--- a/sparline/fleet/_store_reader.py
+++ b/sparline/fleet/_store_reader.py
@@ -44,7 +44,7 @@
 # store's rate limit too.
 BASE_BACKOFF_MS = 150.0
 MAX_BACKOFF_MS = 1_000.0
-# A watch is considered dead once a peer's copy has been newer for this long, plus the delay after a
+# A watch is considered stale once a peer's copy has been newer for this long, plus the delay after a
 # response (ms).
 STALE_WATCH_MS = 700.0
 # How long the store counts as reachable after a response (ms): the longest watch and its response.
@@ -94,7 +94,7 @@
 
 
 class StoreReader:
-    """Keep the replica up to date and track whether the store is reachable."""
+    """Keep the copy of the store up to date and track whether the store is reachable."""
 
     def __init__(
         self,
@@ -203,7 +203,7 @@
         gevent.sleep(self._chance.uniform(0.5, 1.0) * backoff_ms / 1000)
 
     def interrupt_stale_watch(self) -> bool:
-        """Abort a dead watch if peers hold newer revisions; return whether it was aborted."""
+        """Abort a stale watch if peers hold newer revisions; return whether it was aborted."""
         if not self._is_watcher() or self._newest_peer_revision() <= self._copy.revision:
             self._behind_since_ms = None
             return False
--- a/sparline/fleet/tests/test_crash_exchange.py
+++ b/sparline/fleet/tests/test_crash_exchange.py
@@ -171,7 +171,7 @@
     at_once = [one for one in told if one is not None]
     assert 0 < len(at_once) < 20
     # The remaining reports are sent in rounds.
-    assert len(exchange.notes_for(True, False)) == _crash_exchange.MAX_REPORTS
+    assert len(exchange.notes_for(True, False)) == _crash_exchange.MAX_FACTS
 
 
 def test_empty_crash_table_adds_no_notes():
--- a/sparline/fleet/tests/test_quotas.py
+++ b/sparline/fleet/tests/test_quotas.py
@@ -57,8 +57,8 @@
         fleet.start(ip, region, 2_000 + fleet.chance.uniform(0, 300))
 
 
-def stop_holders(fleet: FakeFleet, ms: float) -> None:
-    """Stop the account holders of all regions at once."""
+def stop_coordinators(fleet: FakeFleet, ms: float) -> None:
+    """Stop the quota coordinators of all regions at once."""
     if ms != 8_000:
         return
     for region in REGIONS:
@@ -108,7 +108,7 @@
     ("moving between regions", in_turn(4.1), no_fault, 0.0),
     ("a region is cut off as the overload begins", overload_between(3_000, 16_000, OVERLOAD), cut_east, 0.0),
     ("all restart during the overload", lambda _ms: OVERLOAD, restart_all, 0.0),
-    ("the account holders are lost", lambda _ms: OVERLOAD, stop_holders, 0.0),
+    ("the quota coordinators are lost", lambda _ms: OVERLOAD, stop_coordinators, 0.0),
     ("a fifth of the datagrams are lost", lambda _ms: OVERLOAD, no_fault, 0.2),
 ]  # fmt: skip
 
--- a/sparline/forwarding/_attempt.py
+++ b/sparline/forwarding/_attempt.py
@@ -31,7 +31,7 @@
 BACKEND_CONNECT_TIMEOUT_MS = 600.0
 # Connection timeout between regions, where the round trip alone takes over 100 ms (ms).
 PEER_CONNECT_TIMEOUT_MS = 1_200.0
-# A monitored request is delayed by at most this long to open a probe connection (ms).
+# A watched request is delayed by at most this long to open a probe connection (ms).
 PROBE_CONNECT_TIMEOUT_MS = 100.0
 # Idle connections to the server that are recorded as probes before a request is sent (count). A
 # server process that exits loses all of its connections, so a few are enough. Each check is a
@@ -101,7 +101,7 @@
         except _ServerUnresponsive:
             self._dependencies.health.note_failure(self._server_id, "silent")
             return AttemptEnd(
-                AttemptResult.MAY_HAVE_RUN, Reason.BACKEND_SILENT, may_have_exited=True
+                AttemptResult.MAY_HAVE_RUN, Reason.BACKEND_SILENT, may_have_ended=True
             )
         except _DeadlinePassed:
             return AttemptEnd(AttemptResult.MAY_HAVE_RUN, Reason.DEADLINE_PASSED)
@@ -115,14 +115,14 @@
         if self._placement.peer is not None:
             # The peer itself determines whether its backend server has exited.
             return AttemptEnd(AttemptResult.MAY_HAVE_RUN, reason)
-        ended = self._exited_incarnation()
+        ended = self._ended_incarnation()
         # An open port proves nothing: a supervisor or a restarted process may be listening there.
-        may_have_exited = ended is None
+        may_have_ended = ended is None
         return AttemptEnd(
-            AttemptResult.MAY_HAVE_RUN, reason, ended_server=ended, may_have_exited=may_have_exited
+            AttemptResult.MAY_HAVE_RUN, reason, ended_server=ended, may_have_ended=may_have_ended
         )
 
-    def _exited_incarnation(self) -> BackendServerId | None:
+    def _ended_incarnation(self) -> BackendServerId | None:
         """Return the server incarnation that has exited, or None without evidence of an exit."""
         if self._dependencies.has_ended(self._server_id):
             return self._server_id
@@ -134,12 +134,12 @@
     def _find_probe_connections(
         self, parameters: AttemptParameters
     ) -> tuple[BackendConnection, ...]:
-        """Return other connections to the server, opening one if the request is monitored."""
+        """Return other connections to the server, opening one if the request is watched."""
         if self._placement.peer is not None:
             return ()
         address = self._placement.server.address
         found = self._dependencies.pool.resting(address, MAX_PROBE_CONNECTIONS)
-        if not found and parameters.is_monitored:
+        if not found and parameters.is_watched:
             # The new connection stays in the pool for later requests.
             self._dependencies.pool.probe(address, PROBE_CONNECT_TIMEOUT_MS / 1000)
             found = self._dependencies.pool.resting(address, MAX_PROBE_CONNECTIONS)
@@ -280,7 +280,7 @@
                 self._dependencies.health.note_misdirected(self._server_id)
                 return AttemptEnd(AttemptResult.NOT_RUN, Reason.MISDIRECTED)
             case AnswerKind.NOT_RUN:
-                # The Retry-After of a peer gateway does not apply to the backend server.
+                # The Retry-After of a peer does not apply to the backend server.
                 server_retry_after_ms = 0.0 if via_peer else meaning.retry_after_ms
                 self._dependencies.health.note_full(self._server_id, server_retry_after_ms)
                 reason = Reason.PEER_NOT_RUN if via_peer else Reason.BACKEND_REFUSED
--- a/sparline/forwarding/_attempt_types.py
+++ b/sparline/forwarding/_attempt_types.py
@@ -31,7 +31,7 @@
     retry_after_ms: float = 0.0  # retry delay requested by the server, 0 if none
     ended_server: BackendServerId | None = None  # server that exited while running it, if any
     is_region_full: bool = False  # no server in the peer's region has capacity
-    may_have_exited: bool = False  # the server may have exited, without evidence so far
+    may_have_ended: bool = False  # the server may have exited, without evidence so far
 
 
 @dataclass(frozen=True, slots=True)
--- a/sparline/forwarding/_forwarder.py
+++ b/sparline/forwarding/_forwarder.py
@@ -183,7 +183,7 @@
         return Verdict.CLEAR if crashes.is_empty else crashes.verdict(self._request_digest())
 
     def _sleep_with_jitter(self, delay_ms: float) -> None:
-        """Sleep for a randomized delay before an interrupted stream is retried."""
+        """Sleep for a randomised delay before an interrupted stream is retried."""
         gevent.sleep(delay_ms * self._dependencies.rng.uniform(*RESUME_JITTER_RANGE) / 1000)
 
     def _excluded(self) -> frozenset[BackendServerId]:
@@ -205,7 +205,7 @@
             resume_after=self._progress.splitter.last_id,
             sends_left=self._sends_left,
             source=placement.source.address if placement.source else None,
-            is_monitored=self._has_unexplained_interruption(),
+            is_watched=self._has_unexplained_interruption(),
         )
         attempt = Attempt(
             self._dependencies.attempt_dependencies,
@@ -228,7 +228,9 @@
         The digest is computed only if any such interruption is recorded.
         """
         ends = self._dependencies.attempt_dependencies.ends
-        return ends.has_watched_requests and ends.has_unexplained_abort(self._request_digest())
+        return ends.has_watched_requests and ends.has_unexplained_interruption(
+            self._request_digest()
+        )
 
     def _note_end(self, placement: Placement, end: AttemptEnd) -> None:
         if end.result is AttemptResult.NOT_RUN:
@@ -260,8 +262,8 @@
 
     def _note_crash(self, placement: Placement, end: AttemptEnd) -> None:
         """Record a server exit during the request and stop retrying a suspected request."""
-        if end.may_have_exited:
-            self._dependencies.attempt_dependencies.ends.note_aborted_answer(
+        if end.may_have_ended:
+            self._dependencies.attempt_dependencies.ends.note_interrupted_answer(
                 self._request_digest(), placement.server.id
             )
         if end.ended_server is None:
--- a/sparline/forwarding/_wire.py
+++ b/sparline/forwarding/_wire.py
@@ -54,7 +54,7 @@
     resume_after: int | None  # id of the last event that the caller received
     sends_left: int  # maximum number of backend servers that a peer may use
     source: Address | None = None  # engine to fetch the cached prompt prefix from, if any
-    is_monitored: bool = False  # whether a second connection must detect an exit of the server
+    is_watched: bool = False  # whether a second connection must detect an exit of the server
 
 
 class Wire(Protocol):
--- a/sparline/gateway/_gateway.py
+++ b/sparline/gateway/_gateway.py
@@ -58,12 +58,12 @@
     GapTable,
     HealthTable,
     InstanceLocation,
-    LimitShares,
     LoadTable,
     PaceTable,
     PlacementTables,
     PromptCache,
     RateShares,
+    ServerLimitShares,
     ServerLimitTable,
     WatchTables,
 )
@@ -225,7 +225,7 @@
             loads=self.loads,
             health=self.health,
             cold=ColdShares(self.settings.ip, sharers, is_settled, self.request_log.note_cold_use),
-            limits=LimitShares(
+            limits=ServerLimitShares(
                 self.server_limits, RateShares(self.settings.ip, sharers, is_settled)
             ),
             cache=self.cache,
@@ -362,7 +362,7 @@
 
     def _metrics_app(self, _environ: Environ, start_response: StartResponse) -> list[bytes]:
         self.metrics.in_flight.set(self.service.in_flight)
-        self.metrics.quotas_kept.set(len(self.quota_exchange.account))
+        self.metrics.quotas_kept.set(len(self.quota_exchange.quota_coordinator))
         self.metrics.quarantined.set(self.crashes.quarantined())
         self.metrics.limited_servers.set(self.server_limits.limited_count())
         self.metrics.members.set(len(self.members.live()))
--- a/sparline/gateway/tests/test_quotas.py
+++ b/sparline/gateway/tests/test_quotas.py
@@ -47,7 +47,9 @@
     for number in range(12):
         ask(fleet, number)
     g1 = fleet.gateways["g1"]
-    fleet.until(lambda: len(g1.quota_exchange.account), "the other region has heard of it")
+    fleet.until(
+        lambda: len(g1.quota_exchange.quota_coordinator), "the other region has heard of it"
+    )
     admitted = sum(ask(fleet, number, "g1").status == 200 for number in range(12))
     # At most what one request owes beyond the part that is left.
     assert admitted * COST <= ORE["burst"] + COST
--- a/sparline/instance/_control.py
+++ b/sparline/instance/_control.py
@@ -195,7 +195,7 @@
             link.send(CrashNews([to_crash_note(one) for one in suspects], pass_on=True))
         if scope_of(self._parts.membership.self_hello, link.peer) is Scope.SIBLING:
             for held in self._parts.summaries.fresh():
-                link.send(with_added_age(held.summary, now_ms() - held.received_ms))
+                link.send(with_added_age(held.summary, now_ms() - held.received_at_ms))
 
     def on_link_lost(self, link: PeerLink) -> None:
         """Drop what a lost peer told."""
@@ -257,8 +257,8 @@
 
     def _send_passed_on(self) -> None:
         pending, self._to_pass_on = self._to_pass_on, {}
-        for received_ms, summary, links in pending.values():
-            encoded = EncodedMessage.of(with_added_age(summary, now_ms() - received_ms))
+        for received_at_ms, summary, links in pending.values():
+            encoded = EncodedMessage.of(with_added_age(summary, now_ms() - received_at_ms))
             for link in links:
                 link.send(encoded)
 
--- a/sparline/instance/_instance.py
+++ b/sparline/instance/_instance.py
@@ -20,7 +20,7 @@
 from sparline._wsgi import make_server
 from sparline.backends import probe
 from sparline.declarations import RecordStore, build_catalog
-from sparline.dispatch import Dispatcher, DispatchParts
+from sparline.dispatch import Dispatcher, DispatcherDependencies
 from sparline.entry import EntryApp, EntryParts, Locator
 from sparline.instance._control import Control, ControlParts
 from sparline.instance._load_reader import LoadReader
@@ -132,7 +132,7 @@
             region in self.finder.catalog.allowed_regions(rule)
         )
         self.dispatcher = Dispatcher(
-            DispatchParts(
+            DispatcherDependencies(
                 finder=self.finder,
                 policy=policy,
                 loads=self.loads,
--- a/sparline/limits/_enforcer.py
+++ b/sparline/limits/_enforcer.py
@@ -22,7 +22,7 @@
     arrivals: int = 0  # requests since the last report
     demand_per_s: float = 0.0  # smoothed request rate, including rejected requests
     measured_at_ms: float = 0.0  # when demand was last measured
-    last_request_ms: float = 0.0  # when the last request arrived
+    last_request_at_ms: float = 0.0  # when the last request arrived
 
 
 class LimitEnforcer:
@@ -37,7 +37,7 @@
         """Return None if a request may run, else the milliseconds until the next one may."""
         state = self._organisation_state(organisation)
         state.arrivals += 1
-        state.last_request_ms = now_ms()
+        state.last_request_at_ms = now_ms()
         return None if state.bucket.take() else state.bucket.wait_ms()
 
     def _organisation_state(self, organisation: Organisation) -> _OrganisationState:
@@ -57,7 +57,7 @@
         now = now_ms()
         found = []
         for organisation, state in list(self._states.items()):
-            if now - state.last_request_ms > IDLE_TIMEOUT_MS:
+            if now - state.last_request_at_ms > IDLE_TIMEOUT_MS:
                 del self._states[organisation]
                 continue
             elapsed_s = max(now - state.measured_at_ms, 1) / 1000
--- a/sparline/orders/_runner.py
+++ b/sparline/orders/_runner.py
@@ -64,7 +64,7 @@
         self._hooks = hooks
         self._metrics = metrics
         self._owner_since_ms: float | None = None
-        self._last_active_ms = now_ms()
+        self._last_active_at_ms = now_ms()
         self._blocked_since_ms: dict[Order, float] = {}
 
     def tick(self) -> list[OrderResult]:
@@ -81,12 +81,12 @@
         return results
 
     def _update_ownership(self) -> None:
-        # While this instance was paused, another one may have become the owner unnoticed.
-        paused = now_ms() - self._last_active_ms > self._hooks.takeover_ms / 2
-        self._last_active_ms = now_ms()
+        # While this instance was suspended, another one may have become the owner unnoticed.
+        was_suspended = now_ms() - self._last_active_at_ms > self._hooks.takeover_ms / 2
+        self._last_active_at_ms = now_ms()
         if not self._membership.has_zone_duty("orders"):
             self._owner_since_ms = None
-        elif self._owner_since_ms is None or paused:
+        elif self._owner_since_ms is None or was_suspended:
             self._owner_since_ms = now_ms()
 
     def _may_send(self, backend: BackendState) -> bool:
@@ -146,7 +146,7 @@
         log.info("orders: {} {} at {}", order.kind.value, order.what, order.backend_server)
         address = BackendAddress(backend.member.ip, backend.member.port)
         answer = call_json(address, "POST", "/orders", body, ORDER_TIMEOUT_MS)
-        self._last_active_ms = now_ms()
+        self._last_active_at_ms = now_ms()
         self._hooks.read_report(backend)
         match answer:
             case Ok((200, _)):
--- a/sparline/orders/tests/test_orders.py
+++ b/sparline/orders/tests/test_orders.py
@@ -123,7 +123,7 @@
     owner = next(one for one in fleet.instances.values() if one.membership.has_zone_duty("orders"))
     backend: BackendState = owner.loads.all()[0]
     fleet.until(lambda: owner.orders._may_send(backend), "the owner may send")
-    owner.orders._last_active_ms -= 1000
+    owner.orders._last_active_at_ms -= 1000
     owner.orders._update_ownership()
     assert owner.orders._may_send(backend) is fleet.engine_shape.fenced
 
--- a/sparline/peers/_membership.py
+++ b/sparline/peers/_membership.py
@@ -64,11 +64,11 @@
             self._links[peer_id] = link
             return
         same_incarnation = old.peer.incarnation == link.peer.incarnation
-        keeps_old = same_incarnation and self._dialler_of(old) < self._dialler_of(link)
+        keeps_old = same_incarnation and self._dialer_of(old) < self._dialer_of(link)
         self._links[peer_id] = old if keeps_old else link
         (link if keeps_old else old).close()
 
-    def _dialler_of(self, link: PeerLink) -> str:
+    def _dialer_of(self, link: PeerLink) -> str:
         return self.self_id if link.dialled else link.peer.instance_id
 
     def remove_link(self, link: PeerLink, end: LinkEnd) -> bool:
--- a/sparline/peers/_mesh.py
+++ b/sparline/peers/_mesh.py
@@ -133,11 +133,11 @@
         self._dialer = dialer
         self._silence_ms = silence_ms
         self._dialling: set[InstanceId] = set()
-        self._requested_until: dict[InstanceId, float] = {}
+        self._requested_until_ms: dict[InstanceId, float] = {}
 
     def request_link(self, instance_id: InstanceId) -> PeerLink | None:
         """Return the link to an instance, if any, and request that one be kept or dialled."""
-        self._requested_until[instance_id] = now_ms() + REQUESTED_LINK_MS
+        self._requested_until_ms[instance_id] = now_ms() + REQUESTED_LINK_MS
         return self._membership.link_of(instance_id)
 
     def maintain(self) -> None:
@@ -171,13 +171,13 @@
         contacts = self._zone_contacts(peers) | self._region_contacts()
         self._membership.contacts = contacts
         now = now_ms()
-        self._requested_until = {
-            peer_id: until for peer_id, until in self._requested_until.items() if until > now
+        self._requested_until_ms = {
+            peer_id: until for peer_id, until in self._requested_until_ms.items() if until > now
         }
         return (
             needed
             | contacts
-            | {peer_id for peer_id in self._requested_until if peer_id in catalog.instances}
+            | {peer_id for peer_id in self._requested_until_ms if peer_id in catalog.instances}
         )
 
     def _is_live_peer(self, member: FleetMember) -> bool:
--- a/sparline/placement/__init__.py
+++ b/sparline/placement/__init__.py
@@ -5,7 +5,7 @@
 from sparline.placement._credit import CreditTable
 from sparline.placement._demand import DemandTable
 from sparline.placement._health import HealthTable
-from sparline.placement._limit_shares import LimitShares
+from sparline.placement._limit_shares import ServerLimitShares
 from sparline.placement._loads import LoadTable, Reservation
 from sparline.placement._pace import PaceTable
 from sparline.placement._pauses import GapTable
@@ -24,7 +24,7 @@
     "DemandTable",
     "Doubt",
     "HealthTable",
-    "LimitShares",
+    "ServerLimitShares",
     "LoadTable",
     "PaceTable",
     "InstanceLocation",
--- a/sparline/placement/_choice.py
+++ b/sparline/placement/_choice.py
@@ -162,9 +162,9 @@
 
     def _may_send(self, server: BackendServer, service: Service) -> bool:
         """Tell whether the rates of a server of this region allow one more request now."""
-        if not self._tables.limits.may_use(server.id):
+        if not self._tables.limits.may_send(server.id):
             return False
-        return self._tables.cold.may_use(server, service.cold_requests_per_s)
+        return self._tables.cold.may_send(server, service.cold_requests_per_s)
 
     def _without_full(
         self, request: RoutedRequest, servers: list[BackendServer]
--- a/sparline/placement/_cold_shares.py
+++ b/sparline/placement/_cold_shares.py
@@ -27,17 +27,17 @@
         own_ip: str,
         sharers: Sharers,
         is_settled: IsSettled = lambda: True,
-        on_use: Callable[[ColdRequest], None] = lambda _request: None,
+        on_send: Callable[[ColdRequest], None] = lambda _request: None,
     ) -> None:
         """Share with the instances of this region.
 
         `sharers` returns their addresses, including unresponsive ones; `is_settled` tells whether
-        that list is likely to be complete; `on_use` is called for each request.
+        that list is likely to be complete; `on_send` is called for each request.
         """
         self._shares = RateShares(own_ip, sharers, is_settled)
-        self._on_use = on_use
+        self._on_use = on_send
 
-    def may_use(self, server: BackendServer, rate_per_s: float) -> bool:
+    def may_send(self, server: BackendServer, rate_per_s: float) -> bool:
         """Tell whether this instance may send a server one more request now."""
         if rate_per_s <= 0 or now_ms() >= server.cold_until_ms:
             return True
--- a/sparline/placement/_credit.py
+++ b/sparline/placement/_credit.py
@@ -1,4 +1,4 @@
-"""Estimated credit that requests earn: their size relative to the usual one."""
+"""Credit of requests: their size in prompt tokens, and the usual credit of each service."""
 
 from sparline.requests import Prompt
 from sparline.routes import ServiceName
--- a/sparline/placement/_limit_shares.py
+++ b/sparline/placement/_limit_shares.py
@@ -9,7 +9,7 @@
 MIN_RATE_PER_S = 0.1
 
 
-class LimitShares:
+class ServerLimitShares:
     """Enforces the limits of backend servers, shared between the instances of a region."""
 
     def __init__(self, limits: ServerLimitTable, shares: RateShares) -> None:
@@ -21,7 +21,7 @@
         """Tell whether a server has set a limit."""
         return self._limits.limit_per_s(server_id) is not None
 
-    def may_use(self, server_id: BackendServerId) -> bool:
+    def may_send(self, server_id: BackendServerId) -> bool:
         """Tell whether this instance may send a server one more request now."""
         per_s = self._limits.limit_per_s(server_id)
         return per_s is None or self._shares.may_send(server_id, max(per_s, MIN_RATE_PER_S))
--- a/sparline/placement/_loads.py
+++ b/sparline/placement/_loads.py
@@ -20,7 +20,8 @@
 
     running: int = 0  # requests that have not ended
     held_tokens: int = 0  # cache memory that they take
-    unread_tokens: int = 0  # prompt tokens of requests without a first event
+    # Prefill of requests without a first event, as tokens at the start of a prompt that take as long.
+    unread_tokens: int = 0
     region: RegionName = RegionName("")  # region of the server
     used_at_ms: float = 0.0  # when a request was last placed
 
@@ -30,7 +31,7 @@
     """Prefill work of a backend server when this instance last sent it a prompt."""
 
     at_ms: float  # when it was sent
-    tokens: int  # tokens of the prompt
+    tokens: int  # prefill of the prompt, as tokens at the start of a prompt that take as long
     queued_tokens: int  # tokens that were queued before it
 
 
--- a/sparline/placement/_pauses.py
+++ b/sparline/placement/_pauses.py
@@ -8,29 +8,29 @@
 # Before any gap has been observed, a gap without prefill is taken to last this fraction of the
 # target, and a prefill to add all of its time: requests have to be placed before any can be
 # observed.
-INITIAL_BASE_GAP = 0.15
+INITIAL_BASE_GAP_FRACTION = 0.15
 # Initial and minimum deviation of gaps from their expected length, as a fraction of the target.
-INITIAL_DEVIATION = 0.15
-MIN_DEVIATION = 0.05
+INITIAL_DEVIATION_FRACTION = 0.15
+MIN_DEVIATION_FRACTION = 0.05
 # Weight of one more gap: about the last 20 count.
 WEIGHT = 0.05
 # A gap during which the prefill was shorter than this fraction of the target shows how long gaps
 # without prefill are.
-MAX_IGNORED_PREFILL = 0.1
+MAX_IGNORED_PREFILL_FRACTION = 0.1
 # Of the gaps during which an engine prefilled all the time, this share is at most as long as the
 # estimated maximum: the last event of an answer holds few tokens and comes early.
 MAX_GAP_QUANTILE = 0.9
 # One such gap moves the estimated maximum by at most this fraction of the target, however long a
 # fault made it.
-MAX_GAP_STEP = 0.1
+MAX_GAP_STEP_FRACTION = 0.1
 # Outcomes are counted in bins by prefill time as a fraction of the target: the bin width, and the
 # number of bins, of which the last one has no upper end.
-BIN_WIDTH = 0.25
+BIN_WIDTH_FRACTION = 0.25
 BIN_COUNT = 13
 # Weight of the prediction from gap lengths in each bin, in outcomes.
 PREDICTION_WEIGHT = 2.0
-# Maximum count of one bin; older outcomes fade.
-MAX_BIN_COUNT = 300.0
+# Maximum count of outcomes in one bin; beyond it, both of its counts are halved.
+MAX_OUTCOMES_PER_BIN = 300.0
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
         self, service: ServiceName, target_ms: float, prefill_ms: float, gap_ms: float
     ) -> None:
         """Record a gap in which a prefill began; one with a short prefill counts as without."""
-        if prefill_ms >= MAX_IGNORED_PREFILL * target_ms:
+        if prefill_ms >= MAX_IGNORED_PREFILL_FRACTION * target_ms:
             return
         stats = self._of(service, target_ms)
         # A fault that blocks one stream for seconds is no evidence about the others.
@@ -77,7 +77,7 @@
         if stats.max_ms is None:
             stats.max_ms = gap_ms
         part = MAX_GAP_QUANTILE if gap_ms > stats.max_ms else MAX_GAP_QUANTILE - 1
-        stats.max_ms += part * MAX_GAP_STEP * target_ms
+        stats.max_ms += part * MAX_GAP_STEP_FRACTION * target_ms
         stats.shares = None
 
     def note_outcome(
@@ -89,8 +89,8 @@
         often.
         """
         stats = self._of(service, target_ms)
-        bin_index = min(int(prefill_ms / target_ms / BIN_WIDTH), BIN_COUNT - 1)
-        if stats.seen[bin_index] >= MAX_BIN_COUNT:
+        bin_index = min(int(prefill_ms / target_ms / BIN_WIDTH_FRACTION), BIN_COUNT - 1)
+        if stats.seen[bin_index] >= MAX_OUTCOMES_PER_BIN:
             stats.seen[bin_index] /= 2
             stats.late[bin_index] /= 2
         stats.seen[bin_index] += 1
@@ -99,13 +99,13 @@
 
     def late_share(self, service: ServiceName, target_ms: float, prefill_ms: float) -> float:
         """Return the share of running streams that a prefill makes late, 0 to 1."""
-        if prefill_ms <= BIN_WIDTH / 2 * target_ms:
+        if prefill_ms <= BIN_WIDTH_FRACTION / 2 * target_ms:
             # Shares are relative to that of the shortest prefills.
             return 0.0
         stats = self._of(service, target_ms)
         if stats.shares is None:
             stats.shares = _late_shares(stats, target_ms)
-        position = min(max(prefill_ms / target_ms / BIN_WIDTH - 0.5, 0.0), BIN_COUNT - 1.0)
+        position = min(max(prefill_ms / target_ms / BIN_WIDTH_FRACTION - 0.5, 0.0), BIN_COUNT - 1.0)
         bin_index = min(int(position), BIN_COUNT - 2)
         return stats.shares[bin_index] + (position - bin_index) * (
             stats.shares[bin_index + 1] - stats.shares[bin_index]
@@ -131,7 +131,9 @@
         key = (service, target_ms)
         stats = self._stats.get(key)
         if stats is None:
-            stats = _GapStats(INITIAL_BASE_GAP * target_ms, INITIAL_DEVIATION * target_ms)
+            stats = _GapStats(
+                INITIAL_BASE_GAP_FRACTION * target_ms, INITIAL_DEVIATION_FRACTION * target_ms
+            )
             self._stats[key] = stats
         return stats
 
@@ -153,7 +155,7 @@
     blocks: list[_Block] = []
     for bin_index in range(BIN_COUNT):
         expected = PREDICTION_WEIGHT * _predicted_late_share(
-            stats, target_ms, (bin_index + 0.5) * BIN_WIDTH * target_ms
+            stats, target_ms, (bin_index + 0.5) * BIN_WIDTH_FRACTION * target_ms
         )
         seen = stats.seen[bin_index] + PREDICTION_WEIGHT
         block = _Block((stats.late[bin_index] + expected) / seen, seen, 1)
@@ -177,7 +179,7 @@
     # The whole prefill is taken to fall into one gap: it may be split over two, but it is as likely
     # that other instances start more prefills at the same time.
     expected_ms = min(stats.base_ms + prefill_ms, max_ms)
-    deviation_ms = max(stats.deviation_ms, MIN_DEVIATION * target_ms)
+    deviation_ms = max(stats.deviation_ms, MIN_DEVIATION_FRACTION * target_ms)
     return _normal_probability((expected_ms - target_ms) / deviation_ms)
 
 
--- a/sparline/placement/_place_judge.py
+++ b/sparline/placement/_place_judge.py
@@ -11,7 +11,7 @@
 from sparline.placement._demand import DemandTable
 from sparline.placement._health import HealthTable
 from sparline.placement._kept_prompt import CachedPrefix
-from sparline.placement._limit_shares import LimitShares
+from sparline.placement._limit_shares import ServerLimitShares
 from sparline.placement._loads import LoadTable
 from sparline.placement._pace import EnginePace, PaceTable
 from sparline.placement._pauses import GapTable
@@ -22,8 +22,8 @@
 
 # Operating costs in units of the credit of one prompt token: for each token that is prefilled again
 # although an engine has it cached, and for each MB that an engine transfers.
-REPEATED_PREFILL_LOSS = 0.36
-FETCH_MB_LOSS = 0.11
+LOSS_PER_REPEATED_TOKEN = 0.36
+LOSS_PER_FETCHED_MB = 0.11
 BYTES_PER_MB = 1_000_000
 # A fetch waits for others on the same link: factor on its own transfer time.
 FETCH_QUEUE_FACTOR = 1.5
@@ -65,7 +65,7 @@
     loads: LoadTable  # load of backend servers
     health: HealthTable  # health of servers
     cold: ColdShares  # rates of cold servers
-    limits: LimitShares  # request rate limits set by servers
+    limits: ServerLimitShares  # request rate limits set by servers
     cache: PromptCache  # prompt prefixes cached by engines
     pace: PaceTable  # times of services and engines
     gaps: GapTable  # which prefills make gaps too long
@@ -259,7 +259,9 @@
         assert prompt is not None, "request has no prompt"
         credit = common.credit
         fetched_mb = work.fetched_tokens * engine.token_bytes / BYTES_PER_MB
-        loss = (REPEATED_PREFILL_LOSS * work.repeated_tokens + FETCH_MB_LOSS * fetched_mb) / credit
+        loss = (
+            LOSS_PER_REPEATED_TOKEN * work.repeated_tokens + LOSS_PER_FETCHED_MB * fetched_mb
+        ) / credit
         gap_target_ms = request.route.pause_target_ms
         if gap_target_ms:
             late = self._tables.gaps.late_share
--- a/sparline/placement/_placement.py
+++ b/sparline/placement/_placement.py
@@ -9,7 +9,7 @@
 
 
 class Doubt(Enum):
-    """Trust in a candidate; lower values are preferred."""
+    """Doubt about a candidate; lower values are preferred."""
 
     NONE = 0  # no sign of trouble
     PASSED_OVER = 1  # failed or became unresponsive recently
@@ -29,7 +29,7 @@
     loss: float  # value that the choice minimised, relative to the credit of the request
     load: ServerLoad  # load of the server at that time
     load_age_ms: float | None  # age of that load, None if unknown
-    doubt: Doubt  # trust in the server
+    doubt: Doubt  # doubt about the server
     waits: bool = False  # whether it has to wait there for a free slot
 
 
--- a/sparline/placement/_rate_shares.py
+++ b/sparline/placement/_rate_shares.py
@@ -12,7 +12,7 @@
 
 # Maximum number of instances that share one server's rate. Each may send one request early, so this
 # is also the largest burst.
-MAX_SHARING = 4
+MAX_SHARERS = 4
 # Part of the rate that is used; the rest is a margin for clock differences and network delay.
 USED_RATE_SHARE = 0.85
 
@@ -63,11 +63,11 @@
     def _has_share(self, server_id: BackendServerId) -> bool:
         """Tell whether this instance is one of those that share the server's rate."""
         sharers = self._sharers()
-        if len(sharers) <= MAX_SHARING:
+        if len(sharers) <= MAX_SHARERS:
             return True
         order = sorted(sharers, key=lambda ip: hash64(f"cold/{server_id}/{ip}"), reverse=True)
-        return self._own_ip in order[:MAX_SHARING]
+        return self._own_ip in order[:MAX_SHARERS]
 
 
 def _pause_ms(sharers: int, rate_per_s: float) -> float:
-    return 1000 * min(sharers, MAX_SHARING) / (rate_per_s * USED_RATE_SHARE)
+    return 1000 * min(sharers, MAX_SHARERS) / (rate_per_s * USED_RATE_SHARE)
--- a/sparline/placement/_shortlist.py
+++ b/sparline/placement/_shortlist.py
@@ -16,12 +16,12 @@
 
 # Services of up to this many servers are considered completely: a choice then takes about a
 # millisecond.
-MAX_COMPLETE = 64
+MAX_COMPLETE_SERVERS = 64
 # Numbers of servers considered otherwise: of the own region, of all others together, and of one of
 # these.
-MAX_OWN_REGION = 40
-MAX_OTHER_REGIONS = 24
-MAX_PER_OTHER_REGION = 12
+MAX_OWN_REGION_SERVERS = 40
+MAX_OTHER_REGIONS_SERVERS = 24
+MAX_SERVERS_PER_OTHER_REGION = 12
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
     def of(self, request: RoutedRequest, servers: list[BackendServer]) -> Sequence[BackendServer]:
         """Return the candidates for a request among a service's servers."""
-        if len(servers) <= MAX_COMPLETE:
+        if len(servers) <= MAX_COMPLETE_SERVERS:
             return servers
         slices = self._slices.get(request.service)
         if slices is None or slices.servers is not servers:
@@ -56,7 +56,7 @@
         self._rng.shuffle(others)
         far: list[BackendServer] = []
         for region in others:
-            if len(far) + MAX_PER_OTHER_REGION <= MAX_OTHER_REGIONS:
+            if len(far) + MAX_SERVERS_PER_OTHER_REGION <= MAX_OTHER_REGIONS_SERVERS:
                 far += _slice(slices.by_region[region], selector)
         return found + far
 
@@ -67,7 +67,10 @@
         for server in sorted(servers, key=lambda one: hash64(one.id)):
             by_region.setdefault(server.region, []).append(server)
         return {
-            region: _deal(some, MAX_OWN_REGION if region == self._region else MAX_PER_OTHER_REGION)
+            region: _deal(
+                some,
+                MAX_OWN_REGION_SERVERS if region == self._region else MAX_SERVERS_PER_OTHER_REGION,
+            )
             for region, some in by_region.items()
         }
 
--- a/sparline/placement/tests/test_cold_shares.py
+++ b/sparline/placement/tests/test_cold_shares.py
@@ -37,7 +37,7 @@
     for _ in range(round(seconds * 1000 / STEP_MS)):
         fleet.step()
         for one in fleet.instances.values():
-            if one.region == "1" and one.cold.may_use(server, RATE_PER_S):
+            if one.region == "1" and one.cold.may_send(server, RATE_PER_S):
                 one.cold.note_sent(server, RATE_PER_S)
                 sent.append(fleet.now_ms)
     return sent
--- a/sparline/placement/tests/test_server_limits.py
+++ b/sparline/placement/tests/test_server_limits.py
@@ -124,7 +124,7 @@
     def ask(self, fleet: FakeFleet, ip: str) -> None:
         """Send one request from an instance if its share allows it."""
         one = fleet.instances[ip]
-        if not one.limits.may_use(S1):
+        if not one.limits.may_send(S1):
             return
         one.limits.note_sent(S1)
         if ip in self.answered:
@@ -209,7 +209,7 @@
     server.per_s = None
     server.run(fleet, seconds=6)
     region_instances = [one for one in fleet.instances.values() if one.region == "1"]
-    assert all(one.limits.may_use(S1) for one in region_instances)
+    assert all(one.limits.may_send(S1) for one in region_instances)
 
 
 def test_a_server_with_a_limit_of_zero_still_gets_rare_requests(fleet):
--- a/sparline/placement/tests/test_shortlist.py
+++ b/sparline/placement/tests/test_shortlist.py
@@ -5,7 +5,12 @@
 import pytest
 
 from sparline._ids import RegionName
-from sparline.placement._shortlist import MAX_COMPLETE, MAX_OTHER_REGIONS, MAX_OWN_REGION, Shortlist
+from sparline.placement._shortlist import (
+    MAX_COMPLETE_SERVERS,
+    MAX_OTHER_REGIONS_SERVERS,
+    MAX_OWN_REGION_SERVERS,
+    Shortlist,
+)
 from sparline.requests import Prompt, PromptPrefix
 from sparline.tests.routed import make_request, make_server
 
@@ -26,7 +31,7 @@
     return make_request(prompt=Prompt(9_400, 50, starts))
 
 
-@pytest.mark.parametrize("count", [0, 1, 9, MAX_COMPLETE])
+@pytest.mark.parametrize("count", [0, 1, 9, MAX_COMPLETE_SERVERS])
 def test_small_service_is_considered_completely(count):
     some = servers(count)
     assert list(shortlist().of(make_prompt_request("/a"), some)) == some
@@ -35,10 +40,10 @@
 @pytest.mark.parametrize(("count", "regions"), [(65, 3), (300, 1), (1_300, 23), (3_000, 3)])
 def test_number_of_candidates_of_large_service_is_bounded(count, regions):
     found = shortlist().of(make_prompt_request("/a"), servers(count, regions))
-    assert len(found) <= MAX_OWN_REGION + MAX_OTHER_REGIONS
+    assert len(found) <= MAX_OWN_REGION_SERVERS + MAX_OTHER_REGIONS_SERVERS
     assert len({one.id for one in found}) == len(found)
     near = [one for one in found if one.region == NORTH]
-    assert len(near) >= min(MAX_OWN_REGION // 2, -(-count // regions))
+    assert len(near) >= min(MAX_OWN_REGION_SERVERS // 2, -(-count // regions))
 
 
 def test_requests_with_same_prefix_get_same_candidates_in_own_region():
--- a/sparline/placement/tests/test_witnesses.py
+++ b/sparline/placement/tests/test_witnesses.py
@@ -141,7 +141,7 @@
     sent = 0
     for _ in range(1_000):
         for one in shares:
-            if one.may_use(server, 10.0):
+            if one.may_send(server, 10.0):
                 one.note_sent(server, 10.0)
                 sent += 1
         clock.now += 10
@@ -153,7 +153,7 @@
     server = make_server("s1", cold_until_ms=clock.now - 1)
     shares = ColdShares("a", lambda: ["a", "b"])
     for _ in range(100):
-        assert shares.may_use(server, 10.0)
+        assert shares.may_send(server, 10.0)
         shares.note_sent(server, 10.0)
 
 
--- a/sparline/quarantine/_crash_table.py
+++ b/sparline/quarantine/_crash_table.py
@@ -42,7 +42,7 @@
 MAX_ANSWERED = 2_048
 # Most crashes remembered for one request: more than the longest quarantine needs.
 MAX_ENDS_PER_REQUEST = 12
-RUN_KEY_MASK = 0xFFFF_FFFF
+INCARNATION_KEY_MASK = 0xFFFF_FFFF
 
 
 class Verdict(Enum):
@@ -65,7 +65,7 @@
     """Represent the server crashes attributed to one request."""
 
     digest: RequestDigest  # content digest of the request
-    ended: frozenset[int]  # keys of the server runs that crashed
+    ended: frozenset[int]  # keys of the server incarnations that crashed
     cleared: frozenset[int]  # those of them cleared by a complete answer
     age_ms: float  # time since the newest crash
 
@@ -89,7 +89,7 @@
 class _Record:
     """Hold the crashes attributed to one request."""
 
-    ended: set[int] = field(default_factory=set)  # keys of the server runs that crashed
+    ended: set[int] = field(default_factory=set)  # keys of the server incarnations that crashed
     cleared: set[int] = field(default_factory=set)  # those cleared by a complete answer
     ended_at_ms: float = 0.0  # time of the newest crash
     changed_at_ms: float = 0.0  # time of the last change in this instance
@@ -164,7 +164,7 @@
         """Record that a server crashed while it may have been running a request."""
         if self._was_answered(digest):
             return
-        fact = CrashFact(digest, frozenset((run_key(server_id),)), frozenset(), 0.0)
+        fact = CrashFact(digest, frozenset((server_incarnation_key(server_id),)), frozenset(), 0.0)
         self._merge(fact, learnt)
 
     def note_complete_answer(self, digest: RequestDigest) -> None:
@@ -231,18 +231,18 @@
             if ends >= MIN_SUSPECT_ENDS:
                 self._on_evicted(digest, ends)
 
-    def facts(self, limit: int, singles_ms: float, suspects_ms: float) -> list[CrashFact]:
+    def facts(self, limit: int, first_crash_ms: float, suspect_ms: float) -> list[CrashFact]:
         """Return the recently changed facts to send to peers, at most `limit`.
 
         When there are more, half of them are those with the most crashes and the others are a
-        random sample. `singles_ms` and `suspects_ms` are the maximum age of a change, for requests
+        random sample. `first_crash_ms` and `suspect_ms` are the maximum age of a change, for requests
         with one crash and with more.
         """
         now = now_ms()
         changed = [
             (digest, one)
             for digest, one in self._records.items()
-            if now - one.changed_at_ms <= (suspects_ms if one.was_suspect else singles_ms)
+            if now - one.changed_at_ms <= (suspect_ms if one.was_suspect else first_crash_ms)
         ]
         changed.sort(key=lambda pair: (len(pair[1].ended), pair[1].changed_at_ms), reverse=True)
         if len(changed) > limit:
@@ -260,9 +260,9 @@
         }
 
 
-def run_key(server_id: BackendServerId) -> int:
-    """Return a compact key of one server run, equal in each instance."""
-    return hash64(server_id) & RUN_KEY_MASK
+def server_incarnation_key(server_id: BackendServerId) -> int:
+    """Return a compact key of one server incarnation, equal in each instance."""
+    return hash64(server_id) & INCARNATION_KEY_MASK
 
 
 def _quarantine_ms(ends: int) -> float:
--- a/sparline/quarantine/_server_ends.py
+++ b/sparline/quarantine/_server_ends.py
@@ -1,8 +1,8 @@
-"""Detection of whether a backend server that aborted an answer has terminated or still runs.
+"""Detection of whether a backend server that interrupted an answer has exited or still runs.
 
-A refused connection shows a termination at once, and the removal of the store entry shows it later.
+A refused connection shows a exit at once, and the removal of the store entry shows it later.
 When a supervisor keeps the port open and the store has no update, the other connections decide: a
-process that terminates loses all of them, one that only aborts an answer keeps them.
+process that exits loses all of them, one that only interrupts an answer keeps them.
 """
 
 from collections import OrderedDict
@@ -21,14 +21,14 @@
 # milliseconds; one that does neither within this time may be unreachable because of a network
 # partition.
 PROBE_TIMEOUT_MS = 300.0
-# A refused probe is reused for this long, for other answers that the server aborted together (ms).
+# A refused probe is reused for this long, for other answers that the server interrupted together (ms).
 REFUSAL_TTL_MS = 500.0
-# A server whose store entry is removed within this time after an aborted answer may have terminated
+# A server whose store entry is removed within this time after an interrupted answer may have exited
 # with it (ms): three missed heartbeats and the delay of the store.
 MAX_REMOVAL_DELAY_MS = 15_000.0
-# Most aborted answers awaiting a store update about their servers, and most probe results kept.
+# Most interrupted answers awaiting a store update about their servers, and most probe results kept.
 MAX_UNEXPLAINED = 1_024
-# Repeats of a request are watched for this long after an unexplained aborted answer (ms): callers
+# Repeats of a request are watched for this long after an unexplained interrupted answer (ms): callers
 # retry within their deadlines.
 WATCH_MS = 60_000.0
 # Most watched requests, at some 0.15 kB each.
@@ -47,25 +47,25 @@
 
 
 class EndEvidence(Enum):
-    """Name the evidence that a server has terminated."""
+    """Name the evidence that a server has exited."""
 
     REFUSED = "refused"  # no process is listening at its address
-    GONE = "gone"  # its store entry was removed, and it sent nothing after the aborted answer
+    GONE = "gone"  # its store entry was removed, and it sent nothing after the interrupted answer
     WITNESSED = "witnessed"  # it lost all connections at once
 
 
 @dataclass(frozen=True, slots=True)
-class AbortedAnswer:
-    """Represent an aborted answer that no probe could explain."""
+class InterruptedAnswer:
+    """Represent an interrupted answer that no probe could explain."""
 
     digest: RequestDigest  # request that was being answered
-    server_id: BackendServerId  # server that aborted the answer
-    aborted_at_ms: float  # time of the abort
+    server_id: BackendServerId  # server that interrupted the answer
+    interrupted_at_ms: float  # time of the interruption
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEndCallbacks:
-    """Hold the callbacks of the termination detection."""
+    """Hold the callbacks of the exit detection."""
 
     probe: Callable[[Address, float], ProbeResult]  # tries to connect, with a timeout in seconds
     heard_at_ms: Callable[[BackendServerId], float]  # time when a server last sent anything
@@ -82,18 +82,20 @@
 
 
 class ServerEndDetector:
-    """Detect terminated servers: at once by their connections, later by the store."""
+    """Detect exited servers: at once by their connections, later by the store."""
 
     def __init__(self, callbacks: ServerEndCallbacks) -> None:
-        """Start without any aborted answer."""
+        """Start without any interrupted answer."""
         self._callbacks = callbacks
         self._probes: dict[BackendServerId, AsyncResult] = {}
         self._probe_results: OrderedDict[BackendServerId, tuple[ProbeResult, float]] = OrderedDict()
-        self._unexplained: OrderedDict[AbortedAnswer, None] = OrderedDict()
-        self._watched: OrderedDict[RequestDigest, float] = OrderedDict()  # time of the newest abort
+        self._unexplained: OrderedDict[InterruptedAnswer, None] = OrderedDict()
+        self._watched: OrderedDict[RequestDigest, float] = (
+            OrderedDict()
+        )  # time of the newest interruption
 
     def probe(self, server_id: BackendServerId, address: Address) -> ProbeResult:
-        """Probe whether a server that has just aborted an answer still accepts connections."""
+        """Probe whether a server that has just interrupted an answer still accepts connections."""
         last_result, probed_at_ms = self._probe_results.get(server_id, (ProbeResult.UNKNOWN, 0.0))
         if last_result is ProbeResult.REFUSED and now_ms() - probed_at_ms < REFUSAL_TTL_MS:
             return last_result
@@ -122,7 +124,7 @@
     def witnessed_end(
         self, server_id: BackendServerId, other_connections: Sequence[OtherConnection]
     ) -> BackendServerId | None:
-        """Return an id of the terminated server run, None without evidence of a termination.
+        """Return an id of the exited server incarnation, None without evidence of an exit.
 
         The evidence is that there were other connections and all are lost. The server's own id may
         be reused: the supervisor that holds its port may restart it under that id.
@@ -140,31 +142,31 @@
             self._watched.popitem(last=False)
         return bool(self._watched)
 
-    def has_unexplained_abort(self, digest: RequestDigest) -> bool:
-        """Return whether an answer to a request was recently aborted without an explanation."""
+    def has_unexplained_interruption(self, digest: RequestDigest) -> bool:
+        """Return whether an answer to a request was recently interrupted without an explanation."""
         return self._watched.get(digest, 0.0) > now_ms() - WATCH_MS
 
-    def note_aborted_answer(self, digest: RequestDigest, server_id: BackendServerId) -> None:
-        """Remember an aborted answer until the store shows whether the server has terminated."""
+    def note_interrupted_answer(self, digest: RequestDigest, server_id: BackendServerId) -> None:
+        """Remember an interrupted answer until the store shows whether the server has exited."""
         self._watched[digest] = now_ms()
         self._watched.move_to_end(digest)
         if len(self._watched) > MAX_WATCHED:
             self._watched.popitem(last=False)
-        self._unexplained[AbortedAnswer(digest, server_id, now_ms())] = None
+        self._unexplained[InterruptedAnswer(digest, server_id, now_ms())] = None
         if len(self._unexplained) > MAX_UNEXPLAINED:
             self._unexplained.popitem(last=False)
 
     def note_removed(self, server_id: BackendServerId) -> list[RequestDigest]:
-        """Return the requests whose aborted answers are explained by the removal of a server."""
-        aborted = [one for one in self._unexplained if one.server_id == server_id]
-        for one in aborted:
+        """Return the requests whose interrupted answers are explained by the removal of a server."""
+        interrupted = [one for one in self._unexplained if one.server_id == server_id]
+        for one in interrupted:
             del self._unexplained[one]
         since = now_ms() - MAX_REMOVAL_DELAY_MS
         heard_at_ms = self._callbacks.heard_at_ms(server_id)
         ended = [
             one.digest
-            for one in aborted
-            if one.aborted_at_ms >= since and heard_at_ms < one.aborted_at_ms
+            for one in interrupted
+            if one.interrupted_at_ms >= since and heard_at_ms < one.interrupted_at_ms
         ]
         if ended:
             self._callbacks.on_end(server_id, EndEvidence.GONE)
--- a/sparline/quarantine/tests/test_crash_table.py
+++ b/sparline/quarantine/tests/test_crash_table.py
@@ -28,8 +28,10 @@
 
 
 def fact(*servers: str, cleared: tuple[str, ...] = (), age_ms: float = 0.0) -> CrashFact:
-    keys = frozenset(_crash_table.run_key(one) for one in servers)
-    return CrashFact(DIGEST, keys, frozenset(_crash_table.run_key(one) for one in cleared), age_ms)
+    keys = frozenset(_crash_table.server_incarnation_key(one) for one in servers)
+    return CrashFact(
+        DIGEST, keys, frozenset(_crash_table.server_incarnation_key(one) for one in cleared), age_ms
+    )
 
 
 VERDICTS = [
--- a/sparline/quarantine/tests/test_server_ends.py
+++ b/sparline/quarantine/tests/test_server_ends.py
@@ -1,4 +1,4 @@
-"""Detection of server terminations by connections and the store."""
+"""Detection of server exits by connections and the store."""
 
 import gevent
 import pytest
@@ -16,7 +16,7 @@
 SERVER = BackendServerId("e1")
 ADDRESS = ("127.0.0.1", 1)
 DIGEST = RequestDigest(b"1" * 16)
-ABORTED_AT_MS = 1_000_000.0
+INTERRUPTED_AT_MS = 1_000_000.0
 
 
 class FakeEnvironment:
@@ -45,7 +45,7 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    time = [ABORTED_AT_MS]
+    time = [INTERRUPTED_AT_MS]
     monkeypatch.setattr(_server_ends, "now_ms", lambda: time[0])
     return time
 
@@ -62,7 +62,7 @@
     [row[1:] for row in PROBES],
     ids=[row[0] for row in PROBES],
 )
-def test_refused_probe_reports_a_termination(clock, probe_result, unreachable, ends):
+def test_refused_probe_reports_an_exit(clock, probe_result, unreachable, ends):
     environment = FakeEnvironment(probe_result)
     detector = ServerEndDetector(environment.callbacks())
     assert detector.probe(SERVER, ADDRESS) is probe_result
@@ -103,8 +103,8 @@
 REMOVALS = [
     ("removed soon, never heard again", 3_000.0, 0.0, [DIGEST]),
     ("removed long after", _server_ends.MAX_REMOVAL_DELAY_MS + 1, 0.0, []),
-    ("heard after the abort", 3_000.0, ABORTED_AT_MS + 1, []),
-    ("heard before the abort", 3_000.0, ABORTED_AT_MS - 1, [DIGEST]),
+    ("heard after the interruption", 3_000.0, INTERRUPTED_AT_MS + 1, []),
+    ("heard before the interruption", 3_000.0, INTERRUPTED_AT_MS - 1, [DIGEST]),
 ]
 
 
@@ -113,10 +113,10 @@
     [row[1:] for row in REMOVALS],
     ids=[row[0] for row in REMOVALS],
 )
-def test_store_removal_explains_aborted_answers(clock, after_ms, heard_at_ms, ended):
+def test_store_removal_explains_interrupted_answers(clock, after_ms, heard_at_ms, ended):
     environment = FakeEnvironment(ProbeResult.UNKNOWN)
     detector = ServerEndDetector(environment.callbacks())
-    detector.note_aborted_answer(DIGEST, SERVER)
+    detector.note_interrupted_answer(DIGEST, SERVER)
     clock[0] += after_ms
     environment.heard_at_ms = heard_at_ms
     assert detector.note_removed(BackendServerId("another")) == []
@@ -125,11 +125,11 @@
     assert environment.ends == ([("e1", EndEvidence.GONE)] if ended else [])
 
 
-def test_unexplained_aborts_are_bounded(clock):
+def test_unexplained_interruptions_are_bounded(clock):
     detector = ServerEndDetector(FakeEnvironment(ProbeResult.UNKNOWN).callbacks())
     for number in range(2 * _server_ends.MAX_UNEXPLAINED):
         clock[0] += 0.001
-        detector.note_aborted_answer(DIGEST, BackendServerId(f"s{number}"))
+        detector.note_interrupted_answer(DIGEST, BackendServerId(f"s{number}"))
     assert len(detector._unexplained) == _server_ends.MAX_UNEXPLAINED
 
 
@@ -170,21 +170,21 @@
     assert detector.witnessed_end(SERVER, [FakeConnection(True)]) != first
 
 
-def test_request_is_watched_after_an_unexplained_abort(clock):
+def test_request_is_watched_after_an_unexplained_interruption(clock):
     detector = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).callbacks())
     assert not detector.has_watched_requests
-    detector.note_aborted_answer(DIGEST, SERVER)
+    detector.note_interrupted_answer(DIGEST, SERVER)
     assert detector.has_watched_requests
-    assert detector.has_unexplained_abort(DIGEST)
-    assert not detector.has_unexplained_abort(RequestDigest(b"2" * 16))
+    assert detector.has_unexplained_interruption(DIGEST)
+    assert not detector.has_unexplained_interruption(RequestDigest(b"2" * 16))
     clock[0] += _server_ends.WATCH_MS + 1
-    assert not detector.has_unexplained_abort(DIGEST)
+    assert not detector.has_unexplained_interruption(DIGEST)
     assert not detector.has_watched_requests
 
 
 def test_watched_requests_are_bounded(clock):
     detector = ServerEndDetector(FakeEnvironment(ProbeResult.OPEN).callbacks())
     for number in range(2 * _server_ends.MAX_WATCHED):
-        detector.note_aborted_answer(RequestDigest(b"%d" % number), SERVER)
-    assert not detector.has_unexplained_abort(RequestDigest(b"0"))
+        detector.note_interrupted_answer(RequestDigest(b"%d" % number), SERVER)
+    assert not detector.has_unexplained_interruption(RequestDigest(b"0"))
     assert len(detector._watched) == _server_ends.MAX_WATCHED
--- a/sparline/requests/_routed.py
+++ b/sparline/requests/_routed.py
@@ -1,4 +1,4 @@
-"""Requests matched to a route, with what the gateway needs to schedule and forward them."""
+"""Requests matched to a route, with what an instance needs to schedule and forward them."""
 
 from dataclasses import dataclass, field
 
--- a/sparline/requests/_types.py
+++ b/sparline/requests/_types.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """Hold one request as the router sees it."""
+    """Hold one request with what routing needs."""
 
     request_id: RequestId  # ID given by the caller or generated
     organisation: OrganisationId  # organisation that it is charged to
@@ -48,7 +48,7 @@
     prefix_keys: tuple[int, ...]  # hashes of prompt prefixes, from the shortest to the longest
     length: Length  # size class
     deadline_at_ms: float  # deadline, on this process's clock
-    priority: int  # a higher value is served earlier
+    priority: int  # a higher value is served earlier, unlike in `RoutedRequest`
     repeatable: bool  # whether a second run is harmless
     method: str  # HTTP method
     path: str  # path on the backend server
--- a/sparline/routing/_load_table.py
+++ b/sparline/routing/_load_table.py
@@ -112,13 +112,13 @@
 class Reservation:
     """Reserve a slot for one request at one backend server."""
 
-    __slots__ = ("_started_ms", "_request", "_awaits_first_token", "backend")
+    __slots__ = ("_started_at_ms", "_request", "_awaits_first_token", "backend")
 
     def __init__(self, backend: BackendState, request: Request) -> None:
         """Count the request in the load of the backend server."""
         self.backend = backend
         self._request = request
-        self._started_ms = now_ms()
+        self._started_at_ms = now_ms()
         self._awaits_first_token = True
         backend.own_in_flight += 1
         backend.own_waiting_tokens += request.prompt_tokens
@@ -137,7 +137,7 @@
         backend.own_in_flight -= 1
         backend.own_long -= self._request.length is Length.LONG
         assert backend.own_in_flight >= 0, "a reservation was released twice"
-        held_ms = now_ms() - self._started_ms
+        held_ms = now_ms() - self._started_at_ms
         if self._request.length is Length.LONG:
             backend.long_hold_ms += HOLD_TIME_EWMA_WEIGHT * (held_ms - backend.long_hold_ms)
         else:
--- a/sparline/routing/_spare_room.py
+++ b/sparline/routing/_spare_room.py
@@ -87,7 +87,7 @@
         return use
 
     def _share(self, stored: StoredSummary, room: int, senders: int) -> int:
-        ramp = min((now_ms() - stored.first_seen_ms) / SLOW_START_MS + 0.1, 1.0)
+        ramp = min((now_ms() - stored.first_seen_at_ms) / SLOW_START_MS + 0.1, 1.0)
         exact = room * ramp * OVERBOOKING_FACTOR / max(senders, 1)
         whole = int(exact)
         return whole + (self._rng.random() < exact - whole)
--- a/sparline/routing/_summaries.py
+++ b/sparline/routing/_summaries.py
@@ -45,8 +45,8 @@
 
     summary: ZoneSummary  # the summary as received
     made_at_ms: float  # latest time at which it can have been made, by this process's clock
-    received_ms: float  # when this instance received it
-    first_seen_ms: float  # when the zone was first seen, or seen again after its summary expired
+    received_at_ms: float  # when this instance received it
+    first_seen_at_ms: float  # when the zone was first seen, or seen again after its summary expired
 
     def age_ms(self) -> float:
         """Return the time since the summary was made."""
@@ -76,10 +76,12 @@
                 return verdict
         elif summary.age_ms > SUMMARY_TTL_MS:
             return SummaryVerdict.OLD_AGE
-        first_seen_ms = (
-            now_ms() if stored is None or stored.age_ms() > SUMMARY_TTL_MS else stored.first_seen_ms
+        first_seen_at_ms = (
+            now_ms()
+            if stored is None or stored.age_ms() > SUMMARY_TTL_MS
+            else stored.first_seen_at_ms
         )
-        self._stored[zone] = StoredSummary(summary, made_at_ms, now_ms(), first_seen_ms)
+        self._stored[zone] = StoredSummary(summary, made_at_ms, now_ms(), first_seen_at_ms)
         return SummaryVerdict.NEWER
 
     def fresh(self) -> list[StoredSummary]:
--- a/sparline/routing/tests/test_policy.py
+++ b/sparline/routing/tests/test_policy.py
@@ -229,7 +229,7 @@
     table = SummaryTable()
     table.offer(summary("b-0", 1, 0, {"b-0": 1}))
     stored = table.fresh()[0]
-    object.__setattr__(stored, "first_seen_ms", stored.first_seen_ms - 60_000)
+    object.__setattr__(stored, "first_seen_at_ms", stored.first_seen_at_ms - 60_000)
     taken = 0
     for number in range(200):
         spare = SpareCapacity(random.Random(number))
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -30,8 +30,8 @@
 from sparline.forwarding import RetryRule, RetryWindow, _retry_window
 from sparline.placement import (
     ColdShares,
-    LimitShares,
     RateShares,
+    ServerLimitShares,
     ServerLimitTable,
     _cold_shares,
     _rate_shares,
@@ -68,7 +68,7 @@
     own_loads: dict[str, ServerLoad]  # what it has at each server of its region
     cold: ColdShares
     server_limits: ServerLimitTable
-    limits: LimitShares
+    limits: ServerLimitShares
     retries: RetryWindow
     quotas: QuotaExchange
     region: RegionName
@@ -211,7 +211,7 @@
             return members.are_sharers_settled(region)
 
         cold = ColdShares(ip, sharers, is_settled)
-        limits = LimitShares(server_limits, RateShares(ip, sharers, is_settled))
+        limits = ServerLimitShares(server_limits, RateShares(ip, sharers, is_settled))
         retries = RetryWindow(
             RETRY_RULE, lambda: len(members.sharers()), members.are_sharers_settled
         )
--- a/sparline/tests/test_invariants.py
+++ b/sparline/tests/test_invariants.py
@@ -298,7 +298,7 @@
 def _always_again(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(_dispatcher, "_may_retry", lambda *_: True)
     # The program's own check stops it too; both are off here.
-    patch.setattr(_dispatcher.Dispatcher, "_reason_to_stop", _retry_thrice)
+    patch.setattr(_dispatcher.Dispatcher, "_stop_reason", _retry_thrice)
     original = _dispatcher.Dispatcher._run_attempt
 
     def unchecked(self: object, request: object, progress: object) -> object:
