--- a/benchmarks/_decide_world.py
+++ b/benchmarks/_decide_world.py
@@ -223,7 +223,7 @@
                 store_reached=lambda: True,
             ),
         )
-        self.port._chance = random.Random(f"gossip/{world.draw.seed}/{ip}")
+        self.port._rng = random.Random(f"gossip/{world.draw.seed}/{ip}")
         self._pace = world.table(region, Known.PACES, PaceTable)
         gaps = world.table(region, Known.PAUSES, GapTable)
         asks = 1 if Known.DEMAND in world.known else instances
--- a/sparline/decisions/_region_refusals.py
+++ b/sparline/decisions/_region_refusals.py
@@ -19,8 +19,8 @@
 class RegionRefusals:
     """Remembers what other regions rejected; the caller passes the current time in (`now`, ms).
 
-    Lower priority numbers are more urgent, as in `RoutedRequest`. A region without room for a request may
-    have some for a more urgent one.
+    Lower priority numbers are more urgent, as in `RoutedRequest`. A region without room for a
+    request may have some for a more urgent one.
     """
 
     def __init__(self) -> None:
--- a/sparline/fleet/_gossip.py
+++ b/sparline/fleet/_gossip.py
@@ -38,8 +38,9 @@
 
 # Interval between gossip rounds (ms). It makes load data about as old as a prompt's prefill takes.
 ROUND_MS = 250.0
-# Number of siblings (other instances of this region) that get a datagram in each round; if there are more, they take turns, so that
-# an instance sends the same number of datagrams in a fleet of any size.
+# Number of siblings (other instances of this region) that get a datagram in each round; if there
+# are more, they take turns, so that an instance sends the same number of datagrams in a fleet of
+# any size.
 SIBLINGS_PER_ROUND = 4
 # Number of those siblings that are in other availability zones: traffic between zones is billed,
 # and one datagram in four is enough to spread news to the other zones.
@@ -113,7 +114,7 @@
         self._quotas = quotas
         self._sources = sources
         self._round = 0
-        self._chance = random.Random()
+        self._rng = random.Random()
         self._greeted: dict[str, int] = {}  # incarnations of siblings already greeted, by address
         self._requested_at_ms: dict[int, float] = {}  # time of the last request for a note, by key
         self._closed = False
@@ -252,7 +253,7 @@
         regions = self._ips_by_other_region()
         if regions:
             ips = regions[self._round % len(regions)]
-            self._send([self._chance.choice(ips)], self._gossip_message(False))
+            self._send([self._rng.choice(ips)], self._gossip_message(False))
 
     def announce(self, phase: MemberPhase) -> None:
         """Set this instance's phase; notify all siblings and one instance of each other region."""
@@ -263,7 +264,7 @@
         self._send(
             self._limit_randomly(_ips(siblings), MAX_BROADCAST_PEERS), self._gossip_message(True)
         )
-        remote = [self._chance.choice(ips) for ips in self._ips_by_other_region()]
+        remote = [self._rng.choice(ips) for ips in self._ips_by_other_region()]
         self._send(remote, self._gossip_message(False))
 
     def send_immediately(self, outgoing: Iterable[LoadDatagram | QuotaDatagram]) -> None:
@@ -340,7 +341,7 @@
             silent_ips = {one.note.ip for one in silent}
             missing_peers += [ip for ip in unknown_seeds if ip not in silent_ips]
             if missing_peers:
-                chosen = [self._chance.choice(missing_peers)] if known else unknown_seeds
+                chosen = [self._rng.choice(missing_peers)] if known else unknown_seeds
                 self._send(chosen, self._gossip_message(False, wants_members=True))
 
     def _missing_peers(self, silent: list[Member], is_representative: bool) -> list[str]:
@@ -395,7 +396,7 @@
     def _limit_randomly(self, items: list[Item], limit: int) -> list[Item]:
         if len(items) <= limit:
             return items
-        return self._chance.sample(items, limit)
+        return self._rng.sample(items, limit)
 
     def _send(self, peers: list[str], message: Datagram) -> None:
         data = pack(message)
--- a/sparline/fleet/_loads.py
+++ b/sparline/fleet/_loads.py
@@ -13,7 +13,8 @@
 
     running: int = 0  # requests in progress
     held_tokens: int = 0  # memory used by these requests (tokens)
-    # Prefill of requests without a first event, as tokens at the start of a prompt that take as long.
+    # Prefill of requests without a first event, as tokens at the start of a prompt that take as
+    # long.
     unread_tokens: int = 0
 
 
--- a/sparline/fleet/_quota_exchange.py
+++ b/sparline/fleet/_quota_exchange.py
@@ -1,8 +1,8 @@
 """Exchange of the usage that instances have admitted against organisations' quotas.
 
-An instance reports its usage to the quota coordinator of its region, which replies with the remaining
-quota. In each round, an quota coordinator sends its region's totals to one quota coordinator of each
-other region. Nothing is sent for quotas without requests.
+An instance reports its usage to the quota coordinator of its region, which replies with the
+remaining quota. In each round, a quota coordinator sends its region's totals to one quota
+coordinator of each other region. Nothing is sent for quotas without requests.
 """
 
 from collections.abc import Callable
@@ -31,12 +31,12 @@
     QuotaWord,
 )
 
-# How long an quota coordinator that did not reply is skipped (ms).
+# How long a quota coordinator that did not reply is skipped (ms).
 SKIP_COORDINATOR_MS = 3_000.0
 # Assumed number of instances that share a quota, for an instance that has heard of no other.
 ASSUMED_INSTANCES = 24
-# Number of candidate quota coordinators per region, which exchange totals: instances may temporarily
-# disagree on the quota coordinator, so that several count as coordinator at the same time.
+# Number of candidate quota coordinators per region, which exchange totals: instances may
+# temporarily disagree on the coordinator, so that several count as such at the same time.
 COORDINATOR_CANDIDATES = 2
 
 QuotaMessage = QuotaReport | QuotaWord | QuotaTotals
@@ -59,7 +59,7 @@
         limiter: QuotaLimiter,
         parameters_of: Callable[[int], QuotaParameters | None],
     ) -> None:
-        """Create an exchange with a fleet; `parameters_of` returns the refill parameters of a quota by its key."""
+        """Create an exchange; `parameters_of` returns the refill parameters of a quota by its key."""
         self.limiter = limiter
         self._members = members
         self._region = RegionName(members.own.region)
@@ -95,7 +95,7 @@
         return {region: count / total for region, count in counts.items()}
 
     def due(self) -> list[QuotaDatagram]:
-        """Return the datagrams due now: a usage report, or totals if this is the quota coordinator."""
+        """Return the datagrams due now: a usage report, or totals if this is the coordinator."""
         now = now_ms()
         if not self.limiter.is_report_due(self._region_instances, now):
             return []
@@ -117,7 +117,7 @@
         ]
 
     def _coordinators(self, region: RegionName) -> list[str]:
-        """Return a region's candidate quota coordinators; the first one is the quota coordinator."""
+        """Return a region's candidate quota coordinators; the first one is the coordinator."""
         now = now_ms()
         ips = [one.note.ip for one in self._members.live(region)]
         if region == self._region:
--- a/sparline/fleet/_store_reader.py
+++ b/sparline/fleet/_store_reader.py
@@ -121,7 +121,7 @@
         self._needs_full_read = True
         self._failures = 0
         self._behind_since_ms: float | None = None
-        self._chance = random.Random()
+        self._rng = random.Random()
 
     def reached(self) -> bool:
         """Return whether the store responded recently and no call has failed since."""
@@ -139,7 +139,7 @@
                 answer = self._client.read_all(READ_TIMEOUT_MS)
                 self._handle_answer(answer, "read", self._copy.replace)
             elif self._is_watcher():
-                self._watch(round(self._chance.uniform(WATCH_MIN_FRACTION, 1.0) * WATCH_WAIT_MS))
+                self._watch(round(self._rng.uniform(WATCH_MIN_FRACTION, 1.0) * WATCH_WAIT_MS))
             else:
                 self._wait_as_non_watcher()
 
@@ -149,7 +149,7 @@
 
     def _wait_as_non_watcher(self) -> None:
         """Wait until this instance becomes a watcher; query the store at random intervals."""
-        query_at_ms = now_ms() + self._chance.uniform(MIN_QUERY_INTERVAL_MS, MAX_QUERY_INTERVAL_MS)
+        query_at_ms = now_ms() + self._rng.uniform(MIN_QUERY_INTERVAL_MS, MAX_QUERY_INTERVAL_MS)
         while not self._is_watcher():
             if now_ms() >= query_at_ms:
                 self._watch(0)
@@ -200,7 +200,7 @@
         if self._failures == 1:
             log.bind(call=call, fault=fault.kind.value, text=fault.text).warning("store_lost")
         backoff_ms = min(BASE_BACKOFF_MS * 2**self._failures, MAX_BACKOFF_MS)
-        gevent.sleep(self._chance.uniform(0.5, 1.0) * backoff_ms / 1000)
+        gevent.sleep(self._rng.uniform(0.5, 1.0) * backoff_ms / 1000)
 
     def interrupt_stale_watch(self) -> bool:
         """Abort a stale watch if peers hold newer revisions; return whether it was aborted."""
--- a/sparline/placement/_loads.py
+++ b/sparline/placement/_loads.py
@@ -20,7 +20,8 @@
 
     running: int = 0  # requests that have not ended
     held_tokens: int = 0  # cache memory that they take
-    # Prefill of requests without a first event, as tokens at the start of a prompt that take as long.
+    # Prefill of requests without a first event, as tokens at the start of a prompt that take as
+    # long.
     unread_tokens: int = 0
     region: RegionName = RegionName("")  # region of the server
     used_at_ms: float = 0.0  # when a request was last placed
--- a/sparline/tests/fake_fleet.py
+++ b/sparline/tests/fake_fleet.py
@@ -202,7 +202,7 @@
         gossip = GossipPort(
             PORT, self.seeds, members, loads, CrashExchange(crashes), quotas, sources
         )
-        gossip._chance = random.Random(self.chance.random())
+        gossip._rng = random.Random(self.chance.random())
 
         def sharers() -> list[str]:
             return members.sharers(region)
