--- a/sparline/gateway/tests/test_keys.py
+++ b/sparline/gateway/tests/test_keys.py
@@ -192,7 +192,9 @@
     service = fleet.gateways["g0"].service
     forwarder = service._forwarders[Origin.CALLER]
     withdrawn = iter([False, True])
-    forwarder._dependencies = replace(forwarder._dependencies, is_key_withdrawn=lambda _request: next(withdrawn))
+    forwarder._dependencies = replace(
+        forwarder._dependencies, is_key_withdrawn=lambda _request: next(withdrawn)
+    )
     got = fleet.ask("/safe/x", Authorization="Bearer k-ore")
     # It has run once and is not called not run.
     assert got.status == 502
